--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 PY = .venv/bin/python
 STAMP = .venv/.installed
 
-.PHONY: demo up test lint format measure mutants soak binary
+.PHONY: demo up test lint types format measure mutants soak binary
 
 $(STAMP): requirements.lock pyproject.toml
 	python3 -m venv .venv
@@ -25,6 +25,10 @@
 	.venv/bin/ruff format --check src tests tools
 	.venv/bin/flake8 src tests tools
 
+types: $(STAMP)
+	.venv/bin/mypy src
+	.venv/bin/mypy tests tools
+
 format: $(STAMP)
 	.venv/bin/ruff format src tests tools
 
