--- a/src/dykemast/_internal/controllers/keepers.py
+++ b/src/dykemast/_internal/controllers/keepers.py
@@ -14,7 +14,10 @@
 from dykemast._internal.exceptions import PeerError
 from dykemast._internal.network import ledger_codec
 from dykemast._internal.network.peer_client import PeerClient
-from dykemast._internal.operations.group_commit import GroupCommit, Ledger
+from dykemast._internal.operations.group_commit import (
+    GroupCommit,
+    LedgerCallbacks,
+)
 from dykemast._internal.operations.peers import list_keepers
 from dykemast._internal.operations.rendezvous import choose_keeper
 from dykemast._internal.utils.clock import read_clock
@@ -36,7 +39,7 @@
     :param pause: seconds between two writes of one shard.
     """
 
-    open_shard: Callable[[str], Ledger]
+    open_shard: Callable[[str], LedgerCallbacks]
     decode_acks: Callable[[bytes], list[Any]]
     pause: float
 
--- a/src/dykemast/_internal/controllers/lease_renewals.py
+++ b/src/dykemast/_internal/controllers/lease_renewals.py
@@ -11,7 +11,7 @@
 from dykemast._internal.controllers.keepers import Keepers
 from dykemast._internal.exceptions import DykemastError
 from dykemast._internal.models.budgets import BudgetAck
-from dykemast._internal.operations.lease_book import LeaseBook
+from dykemast._internal.operations.lease_registry import LeaseRegistry
 from dykemast._internal.operations.reclaim import ReadLog
 from dykemast._internal.utils.clock import read_clock
 
@@ -24,7 +24,7 @@
 class LeaseRenewer:
     """Renews leases of one shard, one batch at a time.
 
-    :param book: leases of this router.
+    :param lease_registry: leases of this router.
     :param keepers: way to the shard.
     :param ledger: name of the shard.
     :param belongs: tells whether a budget is of the shard.
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        book: LeaseBook,
+        lease_registry: LeaseRegistry,
         keepers: Keepers,
         ledger: str,
         belongs: Callable[[str], bool],
@@ -40,7 +40,7 @@
         """Start with nothing renewed."""
         self.kick = asyncio.Event()
         self.away = False
-        self._book = book
+        self._book = lease_registry
         self._commit = functools.partial(keepers.commit, ledger)
         self._belongs = belongs
         self.reads = ReadLog()
@@ -86,12 +86,12 @@
             self._take(ack)
             if ack.version:
                 # It stood when it was written, so it was no newer before.
-                self.reads.note_read(ack.version, started)
+                self.reads.record_read(ack.version, started)
         self.away = False
 
     def _take(self, ack: BudgetAck) -> None:
         self._seen = max(self._seen, ack.version)
-        self._book.take_ack(ack, read_clock())
+        self._book.apply_ack(ack, read_clock())
         _log.info(
             'lease: {} allotted {} armed {} free {} target {}.',
             ack.budget,
--- a/src/dykemast/_internal/controllers/leases.py
+++ b/src/dykemast/_internal/controllers/leases.py
@@ -7,7 +7,7 @@
 from dykemast._internal.controllers.keepers import Keepers
 from dykemast._internal.controllers.lease_renewals import LeaseRenewer
 from dykemast._internal.network.budget_ledger import PREFIX
-from dykemast._internal.operations.lease_book import LeaseBook
+from dykemast._internal.operations.lease_registry import LeaseRegistry
 from dykemast._internal.operations.rendezvous import choose_shard
 from dykemast._internal.utils.clock import read_clock
 
@@ -15,17 +15,19 @@
 class Leases:
     """Leases of this router over all budget shards.
 
-    :param book: the leases.
+    :param lease_registry: the leases.
     :param keepers: way to the budget shards.
     :param shards: how many budget shards there are.
     """
 
-    def __init__(self, book: LeaseBook, keepers: Keepers, shards: int) -> None:
+    def __init__(
+        self, lease_registry: LeaseRegistry, keepers: Keepers, shards: int
+    ) -> None:
         """Start with no lease."""
-        self.book = book
+        self.lease_registry = lease_registry
         self._news = asyncio.Event()
         self.renewers = [
-            _make_renewer(book, keepers, (number, shards))
+            _make_renewer(lease_registry, keepers, (number, shards))
             for number in range(shards)
         ]
 
@@ -57,7 +59,7 @@
 
         :param budget: its name.
         """
-        holder = self.book.holders.get(budget)
+        holder = self.lease_registry.holders.get(budget)
         if holder:
             holder.lease.renewed_at = -math.inf
             self.find_renewer(budget).kick.set()
@@ -67,7 +69,7 @@
 
         :raises PlatformError: when that could not be written.
         """
-        self.book.close_all(read_clock(), 0)
+        self.lease_registry.close_all(read_clock(), 0)
         for renewer in self.renewers:
             await renewer.renew()
 
@@ -78,7 +80,7 @@
 
 
 def _make_renewer(
-    book: LeaseBook,
+    lease_registry: LeaseRegistry,
     keepers: Keepers,
     place: tuple[int, int],
 ) -> LeaseRenewer:
@@ -87,4 +89,4 @@
     def belongs(budget: str) -> bool:
         return choose_shard(budget, shards) == number
 
-    return LeaseRenewer(book, keepers, f'{PREFIX}{number}', belongs)
+    return LeaseRenewer(lease_registry, keepers, f'{PREFIX}{number}', belongs)
--- a/src/dykemast/_internal/controllers/ledger_kinds.py
+++ b/src/dykemast/_internal/controllers/ledger_kinds.py
@@ -9,7 +9,7 @@
     decode_journal_acks,
 )
 from dykemast._internal.network.platform import Platform
-from dykemast._internal.operations.group_commit import Ledger
+from dykemast._internal.operations.group_commit import LedgerCallbacks
 
 #: Seconds between two writes of a budget shard.
 BUDGET_PAUSE: Final = 0.5
@@ -25,13 +25,13 @@
     :returns: kinds by the first part of their shards' names.
     """
 
-    def open_budgets(name: str) -> Ledger:
+    def open_budgets(name: str) -> LedgerCallbacks:
         shard = budget_ledger.BudgetShard(platform, name)
-        return Ledger(shard.load, shard.merge)
+        return LedgerCallbacks(shard.load, shard.merge)
 
-    def open_journal(name: str) -> Ledger:
+    def open_journal(name: str) -> LedgerCallbacks:
         shard = journal_ledger.JournalShard(platform, name, window)
-        return Ledger(shard.load, shard.merge)
+        return LedgerCallbacks(shard.load, shard.merge)
 
     return {
         'budgets': LedgerKind(open_budgets, decode_budget_acks, BUDGET_PAUSE),
--- a/src/dykemast/_internal/controllers/lending.py
+++ b/src/dykemast/_internal/controllers/lending.py
@@ -10,7 +10,7 @@
 from dykemast._internal.blackboard import Blackboard
 from dykemast._internal.exceptions import PeerError
 from dykemast._internal.network.peer_client import PeerClient
-from dykemast._internal.operations.lease_book import LeaseBook
+from dykemast._internal.operations.lease_registry import LeaseRegistry
 from dykemast._internal.operations.peers import list_peers
 from dykemast._internal.utils.clock import read_clock
 
@@ -26,19 +26,19 @@
     """Both sides of lending.
 
     :param board: the blackboard; only read.
-    :param book: leases of this router.
+    :param lease_registry: leases of this router.
     :param client: calls to other routers.
     """
 
     def __init__(
         self,
         board: Blackboard,
-        book: LeaseBook,
+        lease_registry: LeaseRegistry,
         client: PeerClient,
     ) -> None:
         """Start with nothing lent."""
         self._board = board
-        self._book = book
+        self._book = lease_registry
         self._client = client
         self._given: OrderedDict[str, int] = OrderedDict()
 
--- a/src/dykemast/_internal/controllers/reclaims.py
+++ b/src/dykemast/_internal/controllers/reclaims.py
@@ -31,7 +31,7 @@
     :param board: the blackboard; only the incarnations are written.
     :param platform: session with the platform.
     :param ways: to the budget shards.
-    :param book: knows when which versions of the shards were seen.
+    :param lease_registry: knows when which versions of the shards were seen.
     """
 
     def __init__(
@@ -39,10 +39,10 @@
         board: Blackboard,
         platform: Platform,
         ways: keepers.Keepers,
-        book: leases.Leases,
+        lease_registry: leases.Leases,
     ) -> None:
         """Start with nothing read."""
-        self._leases = book
+        self._leases = lease_registry
         self._board = board
         self._platform = platform
         self._keepers = ways
@@ -78,7 +78,7 @@
             shard.budgets,
             census,
             shard.reads,
-            lag + confirmed_lease.DETECTION_TIME,
+            lag + confirmed_lease.DEATH_DETECTION_S,
         )
         if plans:
             await self._keepers.commit(name, plans)
@@ -93,7 +93,7 @@
     async def _read_incarnations(self, shard: BudgetShard) -> None:
         known = self._board.fleet.incarnations
         cards = peers.list_cards(self._board, read_clock())
-        for name in reclaim.list_suspects(shard.budgets, cards):
+        for name in reclaim.list_unheard_instances(shard.budgets, cards):
             stored = await self._platform.read(instances.MEMBERS + name)
             if stored.body:
                 known[name] = msgspec.json.decode(stored.body, type=str)
--- a/src/dykemast/_internal/controllers/request_parts.py
+++ b/src/dykemast/_internal/controllers/request_parts.py
@@ -10,7 +10,7 @@
 from dykemast._internal.controllers.lending import Lending
 from dykemast._internal.controllers.sessions import Sessions
 from dykemast._internal.operations.breaker import Breakers
-from dykemast._internal.operations.lease_book import Identity, LeaseBook
+from dykemast._internal.operations.lease_registry import Identity, LeaseRegistry
 from dykemast._internal.path.parts import Parts
 from dykemast._internal.path.turns import Turns
 
@@ -30,12 +30,16 @@
     :returns: the parts.
     """
     settings = board.settings
-    book = LeaseBook(Identity(settings['instance'], board.incarnation))
+    lease_registry = LeaseRegistry(
+        Identity(settings['instance'], board.incarnation)
+    )
     journal = Journal(keepers, settings.get('journal_shards', 1))
     return Parts(
         board=board,
-        leases=Leases(book, keepers, settings.get('budget_shards', 1)),
-        lending=Lending(board, book, sessions.peers),
+        leases=Leases(
+            lease_registry, keepers, settings.get('budget_shards', 1)
+        ),
+        lending=Lending(board, lease_registry, sessions.peers),
         bills=Bills(board, journal, sessions.peers),
         backends=sessions.backends,
         breakers=Breakers(),
--- a/src/dykemast/_internal/models/budget_ledger.py
+++ b/src/dykemast/_internal/models/budget_ledger.py
@@ -46,7 +46,7 @@
     closed_spent: int = 0
     closed_spare: int = 0
 
-    def is_sound(self) -> bool:
+    def has_valid_counts(self) -> bool:
         """Tell whether the counts can be: one below 0 would make tokens.
 
         :returns: whether they can.
--- a/src/dykemast/_internal/models/budgets.py
+++ b/src/dykemast/_internal/models/budgets.py
@@ -3,7 +3,7 @@
 from typing import Final, NamedTuple
 
 #: Most top-up ids that a budget remembers; older repeats are not recognised.
-REMEMBERED_TOPUPS: Final = 1000
+MAX_TOPUP_IDS: Final = 1000
 
 
 class LeaseRow(NamedTuple):
@@ -37,14 +37,14 @@
 
     :param paid: tokens paid for, over its life.
     :param closed: tokens charged for leases that have ended.
-    :param doubtful: part of ``closed`` charged without a holder's report.
+    :param in_doubt: part of ``closed`` charged without a holder's report.
     :param topups: ids of the top-ups that were added, oldest first.
     :param rows: open leases by holder.
     """
 
     paid: int = 0
     closed: int = 0
-    doubtful: int = 0
+    in_doubt: int = 0
     topups: tuple[str, ...] = ()
     rows: dict[str, LeaseRow] = {}  # noqa: RUF012 - never changed in place
 
@@ -56,14 +56,14 @@
     :param holder: see :class:`LeaseRow`.
     :param instance: see :class:`LeaseRow`.
     :param seq: grows by one with each new intent of a holder.
-    :param keep: the holder insists on at least this allotment, if it has it.
+    :param min_allotted: the holder insists on at least this allotment, if it has it.
     :param armed: level that it wants to arm.
     :param spent: net consumption until now.
-    :param floor: ``spent`` and open holds together.
-    :param need: tokens that waiting requests want beyond ``floor``.
-    :param grain: size of its usual hold, in tokens.
+    :param committed: ``spent`` and open holds together.
+    :param need: tokens that waiting requests want beyond ``committed``.
+    :param mean_hold_tokens: size of its usual hold, in tokens.
     :param rate: its recent demand, in tokens a second.
-    :param horizon: seconds of demand that a lease should cover.
+    :param horizon_s: seconds of demand that a lease should cover.
     :param seen: newest shard version known to the holder.
     :param closing: whether the holder is done; ``spent`` is then final.
     """
@@ -72,14 +72,14 @@
     holder: str
     instance: str
     seq: int
-    keep: int
+    min_allotted: int
     armed: int
     spent: int
-    floor: int
+    committed: int
     need: int
-    grain: int
+    mean_hold_tokens: int
     rate: float
-    horizon: float
+    horizon_s: float
     seen: int
     closing: bool = False
 
--- a/src/dykemast/_internal/network/admin_views.py
+++ b/src/dykemast/_internal/network/admin_views.py
@@ -35,7 +35,7 @@
         'paid': budget.paid,
         'unspent': count_unspent(budget),
         'free': count_free(budget),
-        'in_doubt': budget.doubtful,
+        'in_doubt': budget.in_doubt,
         'leases': [row._asdict() for row in budget.rows.values()],
     }
 
--- a/src/dykemast/_internal/network/budget_ledger.py
+++ b/src/dykemast/_internal/network/budget_ledger.py
@@ -48,7 +48,7 @@
         stored = await self._platform.read(self._name)
         self.budgets = decode_budgets(stored.body)
         self.version = stored.version
-        self.reads.note_read(stored.version, started)
+        self.reads.record_read(stored.version, started)
 
     def merge(self, batch: list[BudgetIntent]) -> Merge:
         """Merge intents with the state as read.
@@ -74,7 +74,7 @@
         started = read_clock()
         version = await self._platform.write(self._name, body, self.version)
         # That it succeeded shows that the old version stood when it was sent.
-        self.reads.note_read(self.version, started)
+        self.reads.record_read(self.version, started)
         self.version = version
         self.budgets = budgets
 
--- a/src/dykemast/_internal/network/journal_ledger.py
+++ b/src/dykemast/_internal/network/journal_ledger.py
@@ -14,9 +14,9 @@
 from dykemast._internal.network.platform import Platform
 from dykemast._internal.operations.group_commit import Merge
 from dykemast._internal.operations.journal_merge import (
-    Record,
+    KeyRecord,
     add_entry,
-    forget_old,
+    prune_records,
     merge_batch,
 )
 from dykemast._internal.utils.clock import read_time_of_day
@@ -56,7 +56,7 @@
     ) -> None:
         """Start with nothing read."""
         self._window = window
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, KeyRecord] = {}
         self._platform = platform
         self._name = name
         self._tail = Tail()
@@ -83,9 +83,9 @@
         merged = merge_batch(self.records, batch)
 
         async def save() -> None:
-            await self._append(merged.fresh)
+            await self._append(merged.new_entries)
 
-        return Merge(bool(merged.fresh), merged.acks, save)
+        return Merge(bool(merged.new_entries), merged.acks, save)
 
     async def _load_segment(self, name: str) -> None:
         stored = await self._platform.read(name)
@@ -95,15 +95,15 @@
         self._tail = Tail(_read_number(name))
         self._note_written(name, segment, stored.version)
 
-    async def _append(self, fresh: list[Entry]) -> None:
-        segment = Segment([*self._tail.entries, *fresh])
+    async def _append(self, new_entries: list[Entry]) -> None:
+        segment = Segment([*self._tail.entries, *new_entries])
         if _measure(segment) > SEGMENT_BYTES:
             segment = segment._replace(sealed=True)
         name = '{}/{:08d}'.format(self._name, self._tail.number)
         body = msgspec.json.encode(segment)
         version = await self._platform.write(name, body, self._tail.version)
         self._note_written(name, segment, version)
-        for entry in fresh:
+        for entry in new_entries:
             add_entry(self.records, entry)
 
     def _note_written(self, name: str, segment: Segment, version: int) -> None:
@@ -112,7 +112,7 @@
             self._sealed.add(name)
             self._next = number + 1
             self._tail = Tail(self._next)
-            forget_old(self.records, read_time_of_day() - self._window)
+            prune_records(self.records, read_time_of_day() - self._window)
         else:
             self._tail = Tail(number, version, tuple(segment.entries))
 
--- a/src/dykemast/_internal/operations/allowance.py
+++ b/src/dykemast/_internal/operations/allowance.py
@@ -29,7 +29,7 @@
         """
         return self.spent + self.held + self.lent - self.borrowed
 
-    def count_room(self) -> int:
+    def count_available(self) -> int:
         """Count the tokens that may be held now.
 
         :returns: tokens.
@@ -44,7 +44,7 @@
         :param tokens: what it may consume at the most.
         :returns: whether there were as many.
         """
-        if self.count_room() < tokens:
+        if self.count_available() < tokens:
             return False
         self.held += tokens
         return True
@@ -55,11 +55,11 @@
         :param tokens: how many it wants.
         :returns: how many it gets.
         """
-        given = max(0, min(tokens, self.count_room()))
+        given = max(0, min(tokens, self.count_available()))
         self.lent += given
         return given
 
-    def expect_limit(self, limit: int) -> None:
+    def lower_limit(self, limit: int) -> None:
         """Obey a limit that the store may hold from now on.
 
         :param limit: of a row that is about to be written, or that a
--- a/src/dykemast/_internal/operations/budget_counts.py
+++ b/src/dykemast/_internal/operations/budget_counts.py
@@ -23,7 +23,7 @@
     return budget.paid - budget.closed - spent
 
 
-def check_budget(budget: Budget) -> bool:
+def is_within_paid(budget: Budget) -> bool:
     """Check the invariant that keeps a budget from being overspent.
 
     :param budget: any state.
--- a/src/dykemast/_internal/operations/budget_shard.py
+++ b/src/dykemast/_internal/operations/budget_shard.py
@@ -2,14 +2,14 @@
 
 The functions are pure, and applying an intent twice is the same as once, so
 that a write whose answer was lost is simply made again. The invariant that
-carries "no overspend" is checked by :func:`check_budget`:
+carries "no overspend" is checked by :func:`is_within_paid`:
 ``closed + sum(allotted) <= paid``.
 """
 
 from typing import NamedTuple
 
 from dykemast._internal.models.budgets import (
-    REMEMBERED_TOPUPS,
+    MAX_TOPUP_IDS,
     Budget,
     BudgetAck,
     BudgetIntent,
@@ -73,7 +73,7 @@
 def _add_topup(budget: Budget, intent: TopupIntent) -> Budget:
     if intent.topup in budget.topups:
         return budget
-    known = (*budget.topups, intent.topup)[-REMEMBERED_TOPUPS:]
+    known = (*budget.topups, intent.topup)[-MAX_TOPUP_IDS:]
     return budget._replace(paid=budget.paid + intent.tokens, topups=known)
 
 
@@ -89,4 +89,4 @@
         return budget
     charge = row.allotted if intent.full else row.armed
     closed = _close(budget, intent.holder, charge)
-    return closed._replace(doubtful=budget.doubtful + charge - row.spent)
+    return closed._replace(in_doubt=budget.in_doubt + charge - row.spent)
--- a/src/dykemast/_internal/operations/confirmed_lease.py
+++ b/src/dykemast/_internal/operations/confirmed_lease.py
@@ -15,19 +15,19 @@
 #: Seconds without an answer after which nothing partial is sent any more.
 SILENCE: Final = 4.0
 #: Seconds beyond the list's lag within which a death is noticed.
-DETECTION_TIME: Final = 10.0
+DEATH_DETECTION_S: Final = 10.0
 
 
 class LeaseTerms(NamedTuple):
     """Settings of a lease.
 
-    :param horizon: seconds of demand that a lease should cover.
-    :param arming_delay: seconds without an acknowledged write after which
+    :param horizon_s: seconds of demand that a lease should cover.
+    :param arming_delay_s: seconds without an acknowledged write after which
         the unarmed part of a lease may be used.
     """
 
-    horizon: float = 7200.0
-    arming_delay: float = 20.0
+    horizon_s: float = 7200.0
+    arming_delay_s: float = 20.0
 
 
 class ConfirmedLease:
@@ -58,7 +58,7 @@
         if now < self._unlock_at:
             armed = [plan.armed for plan in self._pending]
             return min(self.ack.armed, *armed) if armed else self.ack.armed
-        kept = [plan.keep for plan in self._pending]
+        kept = [plan.min_allotted for plan in self._pending]
         return min(self.ack.allotted, *kept) if kept else self.ack.allotted
 
     def choose_keep(self, usage: Usage) -> int:
@@ -69,7 +69,7 @@
         """
         if self.ack is None:
             return 0
-        target = max(self.ack.target, usage.count_floor() + usage.waiting)
+        target = max(self.ack.target, usage.count_committed() + usage.waiting)
         surplus = self.ack.allotted - target
         if surplus > (target - usage.spent) * RETURN_SLACK:
             return target
@@ -91,18 +91,18 @@
         silent = self.ack is not None and now > self._silent_from()
         if silent:
             kept = min([self.ack.allotted, *self._list_kept()])
-            plan = plan._replace(keep=kept, armed=kept)
+            plan = plan._replace(min_allotted=kept, armed=kept)
         else:
-            if self.ack and plan.keep < self.ack.allotted:
+            if self.ack and plan.min_allotted < self.ack.allotted:
                 # What is given back must not stay armed.
-                plan = plan._replace(armed=min(plan.armed, plan.keep))
-            self._unlock_at = now + self.terms.arming_delay
+                plan = plan._replace(armed=min(plan.armed, plan.min_allotted))
+            self._unlock_at = now + self.terms.arming_delay_s
         self.seq = plan.seq
         self.renewed_at = now
         self._pending.append(plan)
         return plan
 
-    def take_ack(self, ack: BudgetAck, now: float) -> None:
+    def apply_ack(self, ack: BudgetAck, now: float) -> None:
         """Settle all intents up to an answer's number.
 
         :param ack: answer to an intent of this holder.
@@ -120,4 +120,4 @@
         return self._first_unanswered + SILENCE
 
     def _list_kept(self) -> list[int]:
-        return [plan.keep for plan in self._pending]
+        return [plan.min_allotted for plan in self._pending]
--- a/src/dykemast/_internal/operations/demand.py
+++ b/src/dykemast/_internal/operations/demand.py
@@ -25,7 +25,7 @@
         self._at = float()
         self._began: float | None = None
 
-    def note(self, amount: float, now: float) -> None:
+    def record(self, amount: float, now: float) -> None:
         """Count a request.
 
         :param amount: what it asks for.
@@ -36,7 +36,7 @@
         self._total = self._decay(now) + amount
         self._at = now
 
-    def measure(self, now: float) -> float:
+    def compute_rate(self, now: float) -> float:
         """Measure the demand of the last seconds.
 
         :param now: seconds.
@@ -50,10 +50,10 @@
         part = 1 - math.exp(-known / self._window)
         return self._decay(now) / self._window / part
 
-    def measure_average(self, now: float) -> float:
+    def compute_window_average(self, now: float) -> float:
         """Measure the demand, with nothing assumed before the first request.
 
-        Added up over many routers that get single requests, ``measure`` would
+        Added up over many routers that get single requests, ``compute_rate`` would
         come to some times what there is.
 
         :param now: seconds.
--- a/src/dykemast/_internal/operations/group_commit.py
+++ b/src/dykemast/_internal/operations/group_commit.py
@@ -41,7 +41,7 @@
     save: Callable[[], Awaitable[None]]
 
 
-class Ledger(NamedTuple):
+class LedgerCallbacks(NamedTuple):
     """How the objects of one kind are read and merged.
 
     :param load: reads the newest state; called again after a failure.
@@ -76,7 +76,9 @@
     :param pause: seconds between two writes, which bounds their rate.
     """
 
-    def __init__(self, name: str, ledger: Ledger, pause: float) -> None:
+    def __init__(
+        self, name: str, ledger: LedgerCallbacks, pause: float
+    ) -> None:
         """Start with an empty queue and an unknown state."""
         self._name = name
         self._ledger = ledger
@@ -152,7 +154,7 @@
         return await write_once(self._ledger, intents)
 
 
-async def write_once(ledger: Ledger, intents: list[Any]) -> list[Any]:
+async def write_once(ledger: LedgerCallbacks, intents: list[Any]) -> list[Any]:
     """Merge intents with the state as read, and write it.
 
     :param ledger: how to merge and save.
--- a/src/dykemast/_internal/operations/holder.py
+++ b/src/dykemast/_internal/operations/holder.py
@@ -35,10 +35,10 @@
     :param now: seconds.
     :returns: tokens.
     """
-    delay = terms.arming_delay + SILENCE + RENEW_INTERVAL
+    delay = terms.arming_delay_s + SILENCE + RENEW_INTERVAL
     demand = usage.find_rate(now) * delay * ARMED_SLACK
     # Bursts come again: what was held at once is kept ready for a while.
-    burst = max(ARMED_HOLDS * usage.grain, usage.find_peak(now))
+    burst = max(ARMED_HOLDS * usage.mean_hold_tokens, usage.find_peak(now))
     return math.ceil(demand + burst)
 
 
@@ -69,13 +69,13 @@
         self.usage = Usage(now)
         self.lease = ConfirmedLease(terms)
 
-    def count_room(self, now: float) -> int:
+    def count_available(self, now: float) -> int:
         """Count the tokens that a hold may take now.
 
         :param now: seconds.
         :returns: tokens, at least 0.
         """
-        return max(0, self.lease.find_limit(now) - self.usage.count_floor())
+        return max(0, self.lease.find_limit(now) - self.usage.count_committed())
 
     def take_hold(self, tokens: int, now: float) -> bool:
         """Reserve tokens for one request before it is sent.
@@ -84,7 +84,7 @@
         :param now: seconds.
         :returns: whether there was room.
         """
-        if tokens > self.count_room(now):
+        if tokens > self.count_available(now):
             return False
         self.usage.add_hold(tokens, now)
         return True
@@ -96,7 +96,7 @@
         :param now: seconds.
         :returns: how many it gets.
         """
-        given = min(tokens, self.count_room(now) // 2)
+        given = min(tokens, self.count_available(now) // 2)
         self.usage.spent += given
         return given
 
@@ -115,23 +115,23 @@
         :returns: the intent to be sent.
         """
         usage = self.usage
-        floor = usage.count_floor()
+        committed = usage.count_committed()
         plan = LeaseIntent(
             budget=self.owner.budget,
             holder=self.owner.holder,
             instance=self.owner.instance,
             seq=self.lease.seq + 1,
-            keep=self.lease.choose_keep(usage),
+            min_allotted=self.lease.choose_keep(usage),
             # What waits is about to be used: a renewal must not disarm it.
-            armed=floor
+            armed=committed
             + usage.waiting
             + find_margin(usage, self.lease.terms, now),
             spent=usage.spent,
-            floor=floor,
+            committed=committed,
             need=usage.waiting,
-            grain=math.ceil(usage.grain),
+            mean_hold_tokens=math.ceil(usage.mean_hold_tokens),
             rate=usage.find_rate(now),
-            horizon=self.lease.terms.horizon,
+            horizon_s=self.lease.terms.horizon_s,
             seen=seen,
         )
         return self.lease.note_intent(plan, now)
--- a/src/dykemast/_internal/operations/instance_list.py
+++ b/src/dykemast/_internal/operations/instance_list.py
@@ -4,7 +4,7 @@
 
 from dykemast._internal.blackboard import Fleet
 from dykemast._internal.models.fleet import Instance, InstanceState
-from dykemast._internal.operations.reclaim import Census
+from dykemast._internal.operations.reclaim import KnownProcesses
 
 #: Role that routers have in the platform's list.
 ROUTER_ROLE: Final = 'router'
@@ -36,7 +36,7 @@
     fleet.listed_at = now
 
 
-def take_census(fleet: Fleet, lag: float, now: float) -> Census:
+def take_census(fleet: Fleet, lag: float, now: float) -> KnownProcesses:
     """Gather what shows that processes have ended.
 
     :param fleet: section of the blackboard.
@@ -49,4 +49,4 @@
         for name, since in fleet.missing_since.items()
         if fleet.listed_at - since >= lag
     )
-    return Census(gone, dict(fleet.incarnations), now)
+    return KnownProcesses(gone, dict(fleet.incarnations), now)
--- a/src/dykemast/_internal/operations/journal_merge.py
+++ b/src/dykemast/_internal/operations/journal_merge.py
@@ -14,7 +14,7 @@
 )
 
 
-class Record(NamedTuple):
+class KeyRecord(NamedTuple):
     """What stands under one key.
 
     :param claim: the first claim, if any.
@@ -28,28 +28,28 @@
 class Merged(NamedTuple):
     """Result of merging a batch.
 
-    :param fresh: entries that have to be written, in order.
+    :param new_entries: entries that have to be written, in order.
     :param acks: an answer for each entry of the batch.
     """
 
-    fresh: list[Entry]
+    new_entries: list[Entry]
     acks: list[JournalAck]
 
 
-def add_entry(records: dict[str, Record], entry: Entry) -> None:
+def add_entry(records: dict[str, KeyRecord], entry: Entry) -> None:
     """Put a written entry into the index.
 
     :param records: the index, changed in place.
     :param entry: what was written.
     """
-    record = records.get(entry.key, Record())
+    record = records.get(entry.key, KeyRecord())
     if entry.kind == EntryKind.claimed:
         records[entry.key] = record._replace(claim=record.claim or entry)
     else:
         records[entry.key] = record._replace(finish=record.finish or entry)
 
 
-def forget_old(records: dict[str, Record], before: float) -> None:
+def prune_records(records: dict[str, KeyRecord], before: float) -> None:
     """Drop what is older than the retry window from the index.
 
     :param records: the index, changed in place.
@@ -64,29 +64,29 @@
         records.pop(key)
 
 
-def merge_batch(records: dict[str, Record], batch: list[Entry]) -> Merged:
+def merge_batch(records: dict[str, KeyRecord], batch: list[Entry]) -> Merged:
     """Decide which entries of a batch stand.
 
     :param records: index of what is written; not changed.
     :param batch: entries to append, in order.
     :returns: what to write, and the answers.
     """
-    overlay: dict[str, Record] = {}
+    overlay: dict[str, KeyRecord] = {}
     merged = Merged([], [])
     for entry in batch:
-        overlay.setdefault(entry.key, records.get(entry.key, Record()))
+        overlay.setdefault(entry.key, records.get(entry.key, KeyRecord()))
         ack = judge_entry(overlay[entry.key], entry)
         if ack is None:
             # Whether it is new must not be told from its identity: a bill
             # that is written again is often the very same object.
             ack = JournalAck(Verdict.ours, entry)
             add_entry(overlay, entry)
-            merged.fresh.append(entry)
+            merged.new_entries.append(entry)
         merged.acks.append(ack)
     return merged
 
 
-def judge_entry(record: Record, entry: Entry) -> JournalAck | None:
+def judge_entry(record: KeyRecord, entry: Entry) -> JournalAck | None:
     """Decide whether one entry stands.
 
     :param record: what stands under its key.
--- a/src/dykemast/_internal/operations/lease_grant.py
+++ b/src/dykemast/_internal/operations/lease_grant.py
@@ -19,7 +19,7 @@
 
 
 def _make_row(intent: LeaseIntent, allotted: int) -> LeaseRow:
-    wanted = max(intent.armed, intent.floor + intent.need)
+    wanted = max(intent.armed, intent.committed + intent.need)
     return LeaseRow(
         holder=intent.holder,
         instance=intent.instance,
@@ -33,10 +33,10 @@
 
 
 def _decide_allotment(budget: Budget, intent: LeaseIntent, before: int) -> int:
-    kept = min(intent.keep, before)
+    kept = min(intent.min_allotted, before)
     wanted = max(
         kept,
-        intent.floor + intent.need,
+        intent.committed + intent.need,
         find_target(budget, intent),
     )
     return min(wanted, before + count_free(budget))
--- a/src/dykemast/_internal/operations/lease_book.py
+++ b/src/dykemast/_internal/operations/lease_registry.py
@@ -20,7 +20,7 @@
     incarnation: str
 
 
-class LeaseBook:
+class LeaseRegistry:
     """Holders of one router by budget.
 
     :param identity: who leases.
@@ -33,7 +33,7 @@
         self._serial = 0
         self._closing: dict[str, LeaseIntent] = {}
 
-    def open_holder(
+    def get_holder(
         self,
         budget: str,
         terms: LeaseTerms,
@@ -77,7 +77,7 @@
                 plans.extend(self._plan_holder(holder, now, seen))
         return plans
 
-    def take_ack(self, ack: BudgetAck, now: float) -> None:
+    def apply_ack(self, ack: BudgetAck, now: float) -> None:
         """Take in the answer to an intent.
 
         :param ack: the answer.
@@ -93,7 +93,7 @@
             holder.lease.closed = True
             self.holders.pop(ack.budget)
             return
-        holder.lease.take_ack(ack, now)
+        holder.lease.apply_ack(ack, now)
 
     def close_all(self, now: float, seen: int) -> None:
         """Give back all leases that are not in use.
--- a/src/dykemast/_internal/operations/lease_renewal.py
+++ b/src/dykemast/_internal/operations/lease_renewal.py
@@ -28,7 +28,7 @@
     usage = holder.usage
     age = now - holder.lease.renewed_at
     margin = find_margin(usage, holder.lease.terms, now)
-    low = holder.count_room(now) < margin * LOW_MARGIN
+    low = holder.count_available(now) < margin * LOW_MARGIN
     if holder.usage.waiting or low:
         return age > URGENT_INTERVAL or holder.lease.ack is None
     if usage.held or now - usage.touched < RENEW_INTERVAL:
--- a/src/dykemast/_internal/operations/lease_size.py
+++ b/src/dykemast/_internal/operations/lease_size.py
@@ -31,7 +31,7 @@
     """
     share = _find_share(intent.rate, other_rates)
     portion = max(0, unspent) * (1 - RESERVE_SHARE) * share
-    if portion < MIN_HOLDS * intent.grain:
+    if portion < MIN_HOLDS * intent.mean_hold_tokens:
         return 0
     return int(min(portion, _cover_horizon(intent)))
 
@@ -45,4 +45,6 @@
 
 
 def _cover_horizon(intent: LeaseIntent) -> float:
-    return max(intent.rate * intent.horizon, 2 * MIN_HOLDS * intent.grain)
+    return max(
+        intent.rate * intent.horizon_s, 2 * MIN_HOLDS * intent.mean_hold_tokens
+    )
--- a/src/dykemast/_internal/operations/ledger_rows.py
+++ b/src/dykemast/_internal/operations/ledger_rows.py
@@ -7,7 +7,7 @@
     Usage,
     Want,
 )
-from dykemast._internal.operations.spare_size import measure_spare
+from dykemast._internal.operations.spare_size import compute_spare
 
 
 def plan_ledger(
@@ -31,7 +31,7 @@
     row = _make_row(identity, usage, min(free, want.pending), want)
     planned = _put_row(ledger, identity, row)
     if want.spare:
-        limit = row.limit + measure_spare(planned, identity, terms.routers)
+        limit = row.limit + compute_spare(planned, identity, terms.routers)
         row = row._replace(limit=min(limit, usage.charged + free))
     return _put_row(ledger, identity, row)
 
--- a/src/dykemast/_internal/operations/reclaim.py
+++ b/src/dykemast/_internal/operations/reclaim.py
@@ -43,7 +43,7 @@
         """Start with no reads."""
         self._reads: deque[ShardRead] = deque(maxlen=REMEMBERED_READS)
 
-    def note_read(self, version: int, started: float) -> None:
+    def record_read(self, version: int, started: float) -> None:
         """Remember a read; of equal versions the newest.
 
         :param version: what was read.
@@ -63,7 +63,7 @@
         return max(older, default=None)
 
 
-class Census(NamedTuple):
+class KnownProcesses(NamedTuple):
     """What is known about processes.
 
     :param gone: ids of instances shown to be gone.
@@ -76,7 +76,7 @@
     known_at: float
 
 
-def list_suspects(
+def list_unheard_instances(
     budgets: dict[str, Budget],
     cards: list[PeerCard],
 ) -> set[str]:
@@ -95,7 +95,7 @@
     }
 
 
-def is_dead(row: LeaseRow, census: Census) -> bool:
+def is_dead(row: LeaseRow, census: KnownProcesses) -> bool:
     """Tell whether the holder of a lease is shown to be dead.
 
     :param row: its lease.
@@ -110,19 +110,19 @@
 
 def plan_reclaims(
     budgets: dict[str, Budget],
-    census: Census,
+    census: KnownProcesses,
     reads: ReadLog,
-    arming_delay: float,
+    arming_delay_s: float,
 ) -> list[ReclaimIntent]:
     """Find the leases of a shard that may be taken back.
 
     :param budgets: the shard's budgets by name.
     :param census: what is known about processes.
     :param reads: reads of this shard.
-    :param arming_delay: seconds, as the holders have it.
+    :param arming_delay_s: seconds, as the holders have it.
     :returns: an intent for each.
     """
-    limit = census.known_at - arming_delay
+    limit = census.known_at - arming_delay_s
     return [
         ReclaimIntent(name, row.holder, row.seq, _needs_full(row, reads, limit))
         for name, budget in budgets.items()
--- a/src/dykemast/_internal/operations/return_time.py
+++ b/src/dykemast/_internal/operations/retry_after.py
@@ -21,7 +21,7 @@
 LIKELY_SHARE: Final = 0.25
 
 
-def measure_return_time(
+def compute_retry_after(
     ledger: BudgetLedger | None,
     identity: Identity,
     tokens: int,
--- a/src/dykemast/_internal/operations/spare_size.py
+++ b/src/dykemast/_internal/operations/spare_size.py
@@ -24,7 +24,7 @@
 MIN_DEMAND: Final = 100
 
 
-def measure_spare(
+def compute_spare(
     ledger: BudgetLedger,
     identity: Identity,
     routers: int,
@@ -59,7 +59,7 @@
     return min(_measure_share_of_unused(ledger), _measure_risk(ledger))
 
 
-def measure_loan(
+def compute_loan(
     ledger: BudgetLedger | None,
     spare: int,
     demand: float,
--- a/src/dykemast/_internal/operations/stream_usage.py
+++ b/src/dykemast/_internal/operations/stream_usage.py
@@ -22,30 +22,30 @@
         #: budget be overspent.
         self._unread = 0
 
-    def note_run(self) -> None:
+    def record_start(self) -> None:
         """Note that an engine runs it, or may have run it."""
         self._has_run = True
 
-    def note_read(self, events: int) -> None:
+    def record_read(self, events: int) -> None:
         """Note how much of the answer was read.
 
         :param events: in all.
         """
         self._read = min(events * self._per_event, self._output)
 
-    def note_broken(self) -> None:
+    def record_broken_stream(self) -> None:
         """Note that an engine's answer broke off or was left."""
-        self.note_run()
+        self.record_start()
         self._unread += self._output - self._read
 
-    def count_most(self) -> int:
+    def count_max_tokens(self) -> int:
         """Count what the request may have consumed after one more send.
 
         :returns: tokens.
         """
         return self._prompt + self._output + self._unread
 
-    def count_used(self) -> int:
+    def count_used_tokens(self) -> int:
         """Count what the request may have consumed so far.
 
         :returns: tokens.
--- a/src/dykemast/_internal/operations/usage.py
+++ b/src/dykemast/_internal/operations/usage.py
@@ -20,12 +20,12 @@
         self.spent = 0
         self.held = 0
         self.waiting = 0
-        self.grain = float(0)
+        self.mean_hold_tokens = float(0)
         self._rate = float(0)
         self._peak = float(0)
         self.touched = now
 
-    def count_floor(self) -> int:
+    def count_committed(self) -> int:
         """Count what is consumed or may still be.
 
         :returns: net tokens.
@@ -40,9 +40,9 @@
         """
         self.held += tokens
         self._peak = max(self.held, self.find_peak(now))
-        first = self.grain == 0
+        first = self.mean_hold_tokens == 0
         weight = 1.0 if first else GRAIN_WEIGHT
-        self.grain += (tokens - self.grain) * weight
+        self.mean_hold_tokens += (tokens - self.mean_hold_tokens) * weight
         self._rate = self.find_rate(now) + tokens / RATE_WINDOW
         self.touched = now
 
--- a/src/dykemast/_internal/path/choices.py
+++ b/src/dykemast/_internal/path/choices.py
@@ -12,7 +12,7 @@
     WorkspaceSpec,
 )
 from dykemast._internal.operations.confirmed_lease import (
-    DETECTION_TIME,
+    DEATH_DETECTION_S,
     LeaseTerms,
 )
 from dykemast._internal.operations.expressions import PolicyError
@@ -99,8 +99,8 @@
 def _choose_terms(parts: Parts, workspace: WorkspaceSpec) -> LeaseTerms:
     lag = parts.board.settings.get('list_lag', 0)
     return LeaseTerms(
-        horizon=workspace.get('lease_horizon', LeaseTerms().horizon),
-        arming_delay=lag + DETECTION_TIME,
+        horizon_s=workspace.get('lease_horizon', LeaseTerms().horizon_s),
+        arming_delay_s=lag + DEATH_DETECTION_S,
     )
 
 
--- a/src/dykemast/_internal/path/holds.py
+++ b/src/dykemast/_internal/path/holds.py
@@ -43,7 +43,7 @@
     :returns: the hold.
     :raises RefusedError: when there is no room.
     """
-    holder = parts.leases.book.open_holder(
+    holder = parts.leases.lease_registry.get_holder(
         wanted.budget, wanted.terms, read_clock()
     )
     if not _take(holder, wanted.tokens):
@@ -54,7 +54,7 @@
         ask.request,
         wanted.tokens,
         wanted.budget,
-        holder.count_room(read_clock()),
+        holder.count_available(read_clock()),
     )
     return Hold(wanted.budget, holder, wanted.tokens)
 
--- a/src/dykemast/_internal/path/policy_views.py
+++ b/src/dykemast/_internal/path/policy_views.py
@@ -34,7 +34,7 @@
     """
     known: dict[str, Any] = {}
     prefix = f'{workspace}/'
-    for name, holder in parts.leases.book.holders.items():
+    for name, holder in parts.leases.lease_registry.holders.items():
         ack = holder.lease.ack
         if ack and name.startswith(prefix):
             known[name.removeprefix(prefix)] = {
--- a/src/dykemast/_internal/serving/members/strain.py
+++ b/src/dykemast/_internal/serving/members/strain.py
@@ -28,7 +28,7 @@
     most = min(given.cores / REQUEST_WORK, given.link / REQUEST_BYTES)
     now = read_clock()
     carried = BUSY_SHARE * most
-    rate = board.arrivals.measure(now)
+    rate = board.arrivals.compute_rate(now)
     if board.watch.is_overloaded(now):
         # What waits unread is not counted yet, and the estimate of what a
         # request takes is too low for what comes.
--- a/src/dykemast/_internal/serving/process/application.py
+++ b/src/dykemast/_internal/serving/process/application.py
@@ -41,7 +41,7 @@
         responder = Responder(send, lambda: sheds_callers(parts.board))
         started = read_clock()
         parts.board.inflight += 1
-        parts.board.arrivals.note(1, started)
+        parts.board.arrivals.record(1, started)
         try:
             with records.tell_failure(parts, scope):
                 await _serve(parts, scope, receive, responder)
--- a/src/dykemast/_internal/serving/process/planned_stop.py
+++ b/src/dykemast/_internal/serving/process/planned_stop.py
@@ -100,7 +100,7 @@
     patience = max(0, until - read_clock())
     try:
         async with asyncio.timeout(patience):
-            while not await budget_upkeep.give_back(runtime.assembly.upkeep):
+            while not await budget_upkeep.return_spare(runtime.assembly.upkeep):
                 await asyncio.sleep(GIVE_BACK_PAUSE)
     except TimeoutError:
         _log('tokens_not_given_back', tried_s=round(patience, 3))
--- a/src/dykemast/_internal/serving/relay/attempts.py
+++ b/src/dykemast/_internal/serving/relay/attempts.py
@@ -8,7 +8,7 @@
 from dykemast._internal.serving.relay.retries import (
     has_time,
     may_retry,
-    measure_return_time,
+    compute_retry_after,
 )
 from dykemast._internal.serving.relay.send_outcomes import (
     note_failure,
@@ -97,7 +97,7 @@
     ) -> RefusedError:
         details = {'tried': self.tried, 'reason': str(failure)}
         if not self.may_have_run:
-            return_time = measure_return_time(self._exchange)
+            return_time = compute_retry_after(self._exchange)
             return refused or RefusedError(
                 RefusalCode.no_server, details, return_time
             )
--- a/src/dykemast/_internal/serving/relay/event_streams.py
+++ b/src/dykemast/_internal/serving/relay/event_streams.py
@@ -48,12 +48,12 @@
             await self._send(send, reading)
         except UpstreamError as error:
             if error.sent:
-                self._payment.usage.note_broken()
+                self._payment.usage.record_broken_stream()
             raise
         except BaseException:
             # The caller left, or this process ends; the engine may go on.
             self._attempts.may_have_run = True
-            self._payment.usage.note_broken()
+            self._payment.usage.record_broken_stream()
             raise
         finally:
             reading.end()
@@ -65,7 +65,7 @@
         async with self._parts.upstreams.send(sending) as answer:
             # From here on it ran, also when the answer is a failure.
             self._attempts.may_have_run = True
-            self._payment.usage.note_run()
+            self._payment.usage.record_start()
             note_prompt(self._parts, self._ticket, send.server)
             if answer.head.status >= _FIRST_FAILURE:
                 await self._pass_failure(answer)
@@ -75,7 +75,7 @@
             async for chunk in answer.read_chunks(self._ticket.deadline):
                 if await self.relay.pass_chunk(chunk):
                     reading.end()
-                    self._payment.usage.note_read(self.relay.events)
+                    self._payment.usage.record_read(self.relay.events)
                     meter.note_event()
             await self.relay.finish()
             meter.log_end(self.relay.events)
--- a/src/dykemast/_internal/serving/relay/payments.py
+++ b/src/dykemast/_internal/serving/relay/payments.py
@@ -41,7 +41,7 @@
         if workspace is None or workspace.prepaid is None:
             return
         held = sum(one.tokens for one in self._holds)
-        missing = self.usage.count_most() - held
+        missing = self.usage.count_max_tokens() - held
         if missing <= 0:
             return
         priority = self._ticket.route.priority
@@ -63,7 +63,7 @@
 
     def settle(self) -> None:
         """Charge what was consumed, and let the rest go."""
-        used = self.usage.count_used()
+        used = self.usage.count_used_tokens()
         left = used
         for held in self._holds:
             charged = min(left, held.tokens)
--- a/src/dykemast/_internal/serving/relay/retries.py
+++ b/src/dykemast/_internal/serving/relay/retries.py
@@ -49,7 +49,7 @@
     return ticket.deadline - read_clock() >= MIN_TIME_LEFT
 
 
-def measure_return_time(exchange: Exchange) -> float:
+def compute_retry_after(exchange: Exchange) -> float:
     """Measure when a caller may come back whose request no server takes now.
 
     :param exchange: the request.
--- a/src/dykemast/_internal/serving/relay/server_search.py
+++ b/src/dykemast/_internal/serving/relay/server_search.py
@@ -8,7 +8,7 @@
 from dykemast._internal.serving.admission import gates, quarantine
 from dykemast._internal.serving.choice import candidates, choices
 from dykemast._internal.serving.relay.exchange import Exchange
-from dykemast._internal.serving.relay.retries import measure_return_time
+from dykemast._internal.serving.relay.retries import compute_retry_after
 from dykemast._internal.serving.requests.refusals import (
     RefusalCode,
     RefusedError,
@@ -85,5 +85,5 @@
     parts = exchange.parts
     halls = gates.describe_halls(parts.board, exchange.ticket)
     details = {'tried': tried, **halls}
-    return_time = measure_return_time(exchange)
+    return_time = compute_retry_after(exchange)
     return RefusedError(RefusalCode.no_server, details, return_time)
--- a/src/dykemast/_internal/serving/tokens/accounts.py
+++ b/src/dykemast/_internal/serving/tokens/accounts.py
@@ -38,7 +38,7 @@
     :param identity: who this router is.
     :param allowance: what it may consume.
     :param demand: tokens that requests asked for.
-    :param lent_to: tokens lent to other routers and not got back from them,
+    :param net_lent: tokens lent to other routers and not got back from them,
         by instance.
     :param pending: tokens that requests are waiting for.
     :param search: looks for tokens now, unless it is done.
@@ -57,7 +57,7 @@
     identity: Identity
     allowance: Allowance = dataclasses.field(default_factory=Allowance)
     demand: Demand = dataclasses.field(default_factory=Demand)
-    lent_to: dict[str, int] = dataclasses.field(default_factory=dict)
+    net_lent: dict[str, int] = dataclasses.field(default_factory=dict)
     pending: int = 0
     search: asyncio.Task[Any] | None = None
     shortage: Shortage = Shortage()
@@ -78,7 +78,7 @@
             return False
         return tokens >= self.shortage.tokens
 
-    def may_gain(self, terms: Terms) -> bool:
+    def may_get_tokens(self, terms: Terms) -> bool:
         """Tell whether a write of the row may bring any tokens.
 
         :param terms: what bounds the row.
@@ -118,7 +118,7 @@
         :param spare: whether to keep any tokens spare.
         :returns: the object to write.
         """
-        demand = self.demand.measure(read_clock())
+        demand = self.demand.compute_rate(read_clock())
         planned = ledger_rows.plan_ledger(
             self.ledger,
             self.identity,
@@ -127,7 +127,7 @@
             Want(self.pending, demand, spare),
         )
         row = planned.rows[self.identity.incarnation]
-        self.allowance.expect_limit(row.limit)
+        self.allowance.lower_limit(row.limit)
         revision = self.stored.revision if self.stored else 0
         return encode_ledger(self.workspace, revision, planned)
 
@@ -150,7 +150,7 @@
         ledger = self.ledger
         if ledger is None or self.identity.incarnation not in ledger.rows:
             return 0
-        return spare_size.measure_spare(ledger, self.identity, routers)
+        return spare_size.compute_spare(ledger, self.identity, routers)
 
 
 def take_hold(account: Account, tokens: int, reserve: int) -> bool:
@@ -168,12 +168,12 @@
     return account.allowance.take_hold(tokens)
 
 
-def note_lent(account: Account, borrower: str, tokens: int) -> None:
+def record_loan(account: Account, borrower: str, tokens: int) -> None:
     """Note that tokens were lent to another router, or came back.
 
     :param account: the budget.
     :param borrower: its instance.
     :param tokens: how many; negative when they came from it.
     """
-    before = account.lent_to.get(borrower, 0)
-    account.lent_to[borrower] = before + tokens
+    before = account.net_lent.get(borrower, 0)
+    account.net_lent[borrower] = before + tokens
--- a/src/dykemast/_internal/serving/tokens/budget_keepers.py
+++ b/src/dykemast/_internal/serving/tokens/budget_owners.py
@@ -20,20 +20,20 @@
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds after its start in which a router has not met the others yet.
-MEET_TIME: Final = 1.0
+PEER_DISCOVERY_S: Final = 1.0
 
 
-def keeps(board: ServingBoard, workspace: str) -> bool:
+def is_owner(board: ServingBoard, workspace: str) -> bool:
     """Tell whether this router writes its row of a budget by itself.
 
     :param board: the blackboard.
     :param workspace: whose budget it is.
     :returns: whether it does.
     """
-    return not is_large(board) or find_keeper(board, workspace) is None
+    return not is_large(board) or find_owner(board, workspace) is None
 
 
-def find_keeper(board: ServingBoard, workspace: str) -> PeerCard | None:
+def find_owner(board: ServingBoard, workspace: str) -> PeerCard | None:
     """Find the other router that keeps a budget.
 
     :param board: the blackboard.
@@ -48,7 +48,7 @@
 def _list_reachable(board: ServingBoard) -> Iterable[Peer]:
     # Routers that start at one moment hear of each other one by one, and each
     # would keep all budgets until then; the list is the same for all of them.
-    young = read_clock() - board.started_at < MEET_TIME
+    young = read_clock() - board.started_at < PEER_DISCOVERY_S
     peers = board.peers.values() if young else list_heard(board)
     # Who is about to end keeps nothing for others any more.
     return (peer for peer in peers if not peer.card.leaving)
--- a/src/dykemast/_internal/serving/tokens/budget_upkeep.py
+++ b/src/dykemast/_internal/serving/tokens/budget_upkeep.py
@@ -5,7 +5,7 @@
 
 from dykemast._internal.serving.tokens.accounts import Account
 from dykemast._internal.serving.tokens.holds import NEVER, Shortage
-from dykemast._internal.serving.tokens.budget_keepers import keeps
+from dykemast._internal.serving.tokens.budget_owners import is_owner
 from dykemast._internal.serving.state.fleet_size import is_large
 from dykemast._internal.serving.tokens.token_source import needs_loan
 from dykemast._internal.serving.tokens.upkeep import Upkeep, read_rows
@@ -51,7 +51,7 @@
                 upkeep.search.start(account, ahead)
 
 
-async def give_back(upkeep: Upkeep) -> bool:
+async def return_spare(upkeep: Upkeep) -> bool:
     """Give everything back that is not consumed or held.
 
     :param upkeep: what it needs.
@@ -65,7 +65,7 @@
         accounts = [one for one in accounts if one.written_at > NEVER]
     for account in accounts:
         _drop_spare(account)
-    if not upkeep.writer.may_try():
+    if not upkeep.writer.may_call_store():
         return False
     # All at once: one after the other, ten budgets would take longer than a
     # stop has when a call takes 0.1 s.
@@ -84,7 +84,7 @@
 
 def _drop_spare(account: Account) -> None:
     """Allow no more than what is consumed and held already."""
-    account.allowance.expect_limit(account.allowance.count_charged())
+    account.allowance.lower_limit(account.allowance.count_charged())
 
 
 def needs_write(upkeep: Upkeep, account: Account) -> bool:
@@ -94,19 +94,19 @@
     :param account: the budget.
     :returns: whether it should.
     """
-    if upkeep.board.stopping or not upkeep.writer.may_try():
+    if upkeep.board.stopping or not upkeep.writer.may_call_store():
         return False
     # Who keeps a budget is looked up last: that goes through all routers, and
     # most budgets are ones that this router hardly draws on.
     if not _is_off_target(account, 1 + len(upkeep.board.peers)):
         return False
-    return keeps(upkeep.board, account.workspace)
+    return is_owner(upkeep.board, account.workspace)
 
 
 def _is_off_target(account: Account, routers: int) -> bool:
     if read_clock() - account.written_at < IDLE_WRITE_PAUSE:
         return False
-    room = account.allowance.count_room()
+    room = account.allowance.count_available()
     target = account.measure_target(routers)
     if abs(room - target) < MIN_CHANGE:
         return False
--- a/src/dykemast/_internal/serving/tokens/budgets.py
+++ b/src/dykemast/_internal/serving/tokens/budgets.py
@@ -4,14 +4,14 @@
 
 from dykemast._internal.models.routing_table import Workspace
 from dykemast._internal.operations.allowance_terms import Identity
-from dykemast._internal.operations.spare_size import measure_loan
+from dykemast._internal.operations.spare_size import compute_loan
 from dykemast._internal.serving.tokens.accounts import (
     Account,
-    note_lent,
+    record_loan,
     take_hold,
 )
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.tokens.budget_keepers import keeps
+from dykemast._internal.serving.tokens.budget_owners import is_owner
 from dykemast._internal.serving.state.fleet_size import is_large
 from dykemast._internal.serving.tokens.holds import Hold
 from dykemast._internal.serving.tokens.token_search import TokenSearch
@@ -45,7 +45,7 @@
         self._search = search
         self.accounts: dict[str, Account] = {}
 
-    def open_account(self, workspace: str) -> Account:
+    def get_account(self, workspace: str) -> Account:
         """Find the account of a workspace, or open it.
 
         :param workspace: its name.
@@ -71,8 +71,8 @@
         :returns: the hold, to be settled.
         :raises RefusedError: when there are not as many.
         """
-        account = self.open_account(workspace.name)
-        account.demand.note(tokens, read_clock())
+        account = self.get_account(workspace.name)
+        account.demand.record(tokens, read_clock())
         reserve = URGENT_RESERVE if priority >= LATER_PRIORITY else 0
         if not take_hold(account, tokens, reserve):
             await self._search.wait_for_tokens(account, tokens, reserve)
@@ -104,15 +104,15 @@
             say, as routers of the build before.
         :returns: how many it gets.
         """
-        account = self.open_account(workspace)
-        demand = account.demand.measure_average(read_clock())
-        wanted = tokens + measure_loan(account.ledger, spare or 0, demand)
-        if is_large(self._board) and keeps(self._board, workspace):
-            account.demand.note(wanted, read_clock())
-            if account.allowance.count_room() < wanted:
+        account = self.get_account(workspace)
+        demand = account.demand.compute_window_average(read_clock())
+        wanted = tokens + compute_loan(account.ledger, spare or 0, demand)
+        if is_large(self._board) and is_owner(self._board, workspace):
+            account.demand.record(wanted, read_clock())
+            if account.allowance.count_available() < wanted:
                 await self._search.refill(account, wanted)
         given = account.allowance.lend(wanted)
-        note_lent(account, borrower, given)
+        record_loan(account, borrower, given)
         return given
 
     async def take_back(self, workspace: str, tokens: int, giver: str) -> int:
@@ -126,7 +126,7 @@
         """
         if self._board.stopping or tokens < 0:
             return 0
-        account = self.open_account(workspace)
+        account = self.get_account(workspace)
         account.allowance.borrowed += tokens
-        note_lent(account, giver, -tokens)
+        record_loan(account, giver, -tokens)
         return tokens
--- a/src/dykemast/_internal/serving/tokens/ledger_objects.py
+++ b/src/dykemast/_internal/serving/tokens/ledger_objects.py
@@ -35,6 +35,6 @@
         ledger = msgspec.convert(stored.spec, BudgetLedger)
     except msgspec.ValidationError as error:
         raise BudgetNotUsableError(f'the budget: {error}') from error
-    if not ledger.is_sound():
+    if not ledger.has_valid_counts():
         raise BudgetNotUsableError('the budget has counts below 0.')
     return ledger
--- a/src/dykemast/_internal/serving/tokens/ledger_writer.py
+++ b/src/dykemast/_internal/serving/tokens/ledger_writer.py
@@ -39,7 +39,7 @@
         #: Whether the last call failed.
         self.is_away = False
 
-    def may_try(self) -> bool:
+    def may_call_store(self) -> bool:
         """Tell whether a call makes sense now.
 
         :returns: False for a while after one has failed.
@@ -131,7 +131,7 @@
     described = {
         'workspace': account.workspace,
         'revision': account.stored.revision if account.stored else None,
-        'room': allowance.count_room(),
+        'room': allowance.count_available(),
         'spent': allowance.spent,
         'held': allowance.held,
         'lent': allowance.lent,
--- a/src/dykemast/_internal/serving/tokens/loans.py
+++ b/src/dykemast/_internal/serving/tokens/loans.py
@@ -7,7 +7,7 @@
 
 from dykemast._internal.exceptions import PeerError
 from dykemast._internal.models.fleet import PeerCard
-from dykemast._internal.serving.tokens.accounts import Account, note_lent
+from dykemast._internal.serving.tokens.accounts import Account, record_loan
 from dykemast._internal.serving.members.gossip import Gossip
 from dykemast._internal.utils.events import make_logger
 
@@ -32,7 +32,7 @@
     :param account: the budget.
     """
     lenders = choose_lenders(peers, account)
-    missing = account.pending - account.allowance.count_room()
+    missing = account.pending - account.allowance.count_available()
     if missing > 0:
         asks = (ask_lender(gossip, card, account, missing) for card in lenders)
         await asyncio.gather(*asks)
@@ -50,7 +50,7 @@
     :returns: their cards.
     """
     rows = account.ledger.rows.values() if account.ledger else ()
-    spare = collections.Counter(account.lent_to)
+    spare = collections.Counter(account.net_lent)
     for row in rows:
         spare[row.instance] += row.count_spare()
     lenders = random.sample(peers, len(peers))
@@ -83,7 +83,7 @@
         _log('loan_not_returned', peer=card.instance, reason=str(error))
         return
     account.allowance.borrowed += given - taken
-    note_lent(account, card.instance, taken)
+    record_loan(account, card.instance, taken)
     _log(
         'tokens_returned',
         workspace=account.workspace,
@@ -123,7 +123,7 @@
         _log('loan_failed', peer=card.instance, reason=str(error))
         return False
     account.allowance.borrowed += given
-    note_lent(account, card.instance, -given)
+    record_loan(account, card.instance, -given)
     _log(
         'tokens_borrowed' if given else 'nothing_to_borrow',
         workspace=account.workspace,
--- a/src/dykemast/_internal/serving/tokens/token_search.py
+++ b/src/dykemast/_internal/serving/tokens/token_search.py
@@ -5,7 +5,7 @@
 from collections.abc import Coroutine, Iterator
 from typing import Any, Final
 
-from dykemast._internal.operations.return_time import measure_return_time
+from dykemast._internal.operations.retry_after import compute_retry_after
 from dykemast._internal.serving.tokens.accounts import Account, take_hold
 from dykemast._internal.serving.tokens.holds import Shortage
 from dykemast._internal.serving.tokens.ledger_writer import (
@@ -106,7 +106,7 @@
         with _pending(account, tokens):
             search = self.start(account, self.source.find(account))
             await asyncio.wait((search,), timeout=HOLD_PATIENCE)
-        if account.allowance.count_room() < tokens:
+        if account.allowance.count_available() < tokens:
             _note_shortage(account, tokens)
 
     async def _try_twice(
@@ -129,7 +129,7 @@
         details = {'wanted': tokens, **describe(account)}
         if self._writer.is_away:
             away = read_clock() - account.seen_at
-            pause = measure_return_time(
+            pause = compute_retry_after(
                 account.ledger, account.identity, tokens, away
             )
             return RefusedError(RefusalCode.budget_away, details, pause)
--- a/src/dykemast/_internal/serving/tokens/token_source.py
+++ b/src/dykemast/_internal/serving/tokens/token_source.py
@@ -4,9 +4,9 @@
 
 from dykemast._internal.serving.tokens.accounts import Account
 from dykemast._internal.serving.state.board import ServingBoard, list_heard
-from dykemast._internal.serving.tokens.budget_keepers import (
-    find_keeper,
-    keeps,
+from dykemast._internal.serving.tokens.budget_owners import (
+    find_owner,
+    is_owner,
 )
 from dykemast._internal.serving.state.fleet_size import is_large
 from dykemast._internal.serving.members.gossip import Gossip
@@ -31,13 +31,13 @@
 SCARCE_PAUSE: Final = 3.0
 
 
-def measure_reserve(account: Account) -> int:
+def compute_loan_target(account: Account) -> int:
     """Measure how many tokens a borrower would keep for the next requests.
 
     :param account: the budget.
     :returns: tokens.
     """
-    return int(account.demand.measure_average(read_clock()) * LOAN_TIME)
+    return int(account.demand.compute_window_average(read_clock()) * LOAN_TIME)
 
 
 def needs_loan(board: ServingBoard, account: Account) -> bool:
@@ -55,12 +55,12 @@
         return False
     if read_clock() - account.borrowed_at < LOAN_PAUSE:
         return False
-    reserve = measure_reserve(account)
+    reserve = compute_loan_target(account)
     if reserve < MIN_LOAN:
         return False
-    if account.allowance.count_room() > LOAN_SHARE * reserve:
+    if account.allowance.count_available() > LOAN_SHARE * reserve:
         return False
-    return not keeps(board, account.workspace)
+    return not is_owner(board, account.workspace)
 
 
 class TokenSource:
@@ -88,9 +88,9 @@
         :param account: the budget.
         """
         account.borrowed_at = read_clock()
-        before = account.allowance.count_room()
+        before = account.allowance.count_available()
         await self._ask_keeper(account)
-        if account.allowance.count_room() < before + MIN_LOAN:
+        if account.allowance.count_available() < before + MIN_LOAN:
             # A budget near its end lends next to nothing; asked each second
             # by all, its keeper would do little else.
             account.borrowed_at += SCARCE_PAUSE
@@ -100,9 +100,9 @@
 
         :param account: the budget.
         """
-        keeper = find_keeper(self._board, account.workspace)
+        keeper = find_owner(self._board, account.workspace)
         if is_large(self._board) and keeper:
-            room = account.allowance.count_room()
+            room = account.allowance.count_available()
             await return_tokens(self._gossip, keeper, account, max(0, room))
 
     async def find(self, account: Account) -> None:
@@ -114,9 +114,9 @@
             if not self._is_stranded(account):
                 return
         terms = self._writer.read_terms(account.workspace)
-        if self._writer.may_try() and account.may_gain(terms):
+        if self._writer.may_call_store() and account.may_get_tokens(terms):
             await self._writer.write(account)
-        if account.pending > account.allowance.count_room():
+        if account.pending > account.allowance.count_available():
             peers = [peer.card for peer in list_heard(self._board)]
             await borrow_tokens(self._gossip, peers, account)
 
@@ -126,9 +126,9 @@
         The store turns single routers away while others reach it; what is
         left of a budget then must not hang on one of those.
         """
-        if account.pending <= account.allowance.count_room():
+        if account.pending <= account.allowance.count_available():
             return False
-        keeper = find_keeper(self._board, account.workspace)
+        keeper = find_owner(self._board, account.workspace)
         peer = self._board.peers.get(keeper.instance) if keeper else None
         return peer is not None and peer.budgets_away
 
@@ -137,11 +137,11 @@
 
         :returns: whether it answered.
         """
-        keeper = find_keeper(self._board, account.workspace)
+        keeper = find_owner(self._board, account.workspace)
         if keeper is None:
             return False
-        left = account.allowance.count_room() - account.pending
-        wanted = measure_reserve(account) - max(0, left)
+        left = account.allowance.count_available() - account.pending
+        wanted = compute_loan_target(account) - max(0, left)
         return await ask_lender(
             self._gossip, keeper, account, max(0, -left), max(0, wanted)
         )
--- a/tests/lib/lease_steps.py
+++ b/tests/lib/lease_steps.py
@@ -31,19 +31,19 @@
     """
     world.replace(0, same_instance=True)
     world.reclaim(0)
-    doubtful = world.shard.budget.doubtful
+    in_doubt = world.shard.budget.in_doubt
     use_up(world)
-    return doubtful
+    return in_doubt
 
 
 def find_row(world: World, router: Router):
-    holder = router.book.holders[BUDGET].owner.holder
+    holder = router.lease_registry.holders[BUDGET].owner.holder
     return world.shard.budget.rows[holder]
 
 
 def count_spent(router: Router) -> int:
-    return router.book.holders[BUDGET].usage.spent
+    return router.lease_registry.holders[BUDGET].usage.spent
 
 
-def count_floor(router: Router) -> int:
-    return router.book.holders[BUDGET].usage.count_floor()
+def count_committed(router: Router) -> int:
+    return router.lease_registry.holders[BUDGET].usage.count_committed()
--- a/tests/lib/lease_world.py
+++ b/tests/lib/lease_world.py
@@ -18,15 +18,15 @@
 from dykemast._internal.operations.budget_shard import apply_intent
 from dykemast._internal.operations.confirmed_lease import LeaseTerms
 from dykemast._internal.operations.holder import Holder
-from dykemast._internal.operations.lease_book import Identity, LeaseBook
+from dykemast._internal.operations.lease_registry import Identity, LeaseRegistry
 from dykemast._internal.operations.reclaim import (
-    Census,
+    KnownProcesses,
     ReadLog,
     plan_reclaims,
 )
 
 BUDGET = 'shop/main'
-TERMS = LeaseTerms(horizon=900, arming_delay=30)
+TERMS = LeaseTerms(horizon_s=900, arming_delay_s=30)
 
 
 class Work(NamedTuple):
@@ -42,7 +42,7 @@
     def __init__(self, instance: str, incarnation: str) -> None:
         self.instance = instance
         self.incarnation = incarnation
-        self.book = LeaseBook(Identity(instance, incarnation))
+        self.lease_registry = LeaseRegistry(Identity(instance, incarnation))
         self.seen = 0
         self.work: list[Work] = []
 
@@ -81,7 +81,7 @@
         self.shard.apply(TopupIntent(BUDGET, topup, tokens))
 
     def start_work(self, router: Router, tokens: int) -> bool:
-        holder = router.book.open_holder(BUDGET, TERMS, self.now)
+        holder = router.lease_registry.get_holder(BUDGET, TERMS, self.now)
         if not holder.take_hold(tokens, self.now):
             holder.usage.waiting = tokens
             return False
@@ -100,8 +100,8 @@
             self.consumed -= work.tokens - used
 
     def hold_all(self, router: Router) -> int:
-        holder = router.book.holders.get(BUDGET)
-        room = holder.count_room(self.now) if holder else 0
+        holder = router.lease_registry.holders.get(BUDGET)
+        room = holder.count_available(self.now) if holder else 0
         if room:
             self.start_work(router, room)
         return room
@@ -116,13 +116,15 @@
             self.take(router, self.shard.apply(intent))
 
     def plan(self, router: Router) -> list[LeaseIntent]:
-        for holder in router.book.holders.values():
+        for holder in router.lease_registry.holders.values():
             holder.lease.renewed_at = -math.inf
-        return router.book.plan_renewals(lambda _: True, self.now, router.seen)
+        return router.lease_registry.plan_renewals(
+            lambda _: True, self.now, router.seen
+        )
 
     def take(self, router: Router, ack: BudgetAck) -> None:
         router.seen = max(router.seen, ack.version)
-        router.book.take_ack(ack, self.now)
+        router.lease_registry.apply_ack(ack, self.now)
 
     def replace(self, number: int, *, same_instance: bool) -> None:
         """Kill a router; another takes its place."""
@@ -134,12 +136,12 @@
         self.routers[number] = Router(instance, incarnation)
 
     def read_shard(self) -> None:
-        self.shard.reads.note_read(self.shard.version, self.now)
+        self.shard.reads.record_read(self.shard.version, self.now)
 
     def reclaim(self, lag: float) -> None:
         """Look after the shard as its keeper does."""
         self.read_shard()
-        census = Census(
+        census = KnownProcesses(
             frozenset(
                 name
                 for name, since in self.gone.items()
@@ -152,7 +154,7 @@
             {BUDGET: self.shard.budget},
             census,
             self.shard.reads,
-            TERMS.arming_delay,
+            TERMS.arming_delay_s,
         )
         for intent in plans:
             self.shard.apply(intent)
--- a/tests/lib/ledger_world.py
+++ b/tests/lib/ledger_world.py
@@ -68,7 +68,7 @@
             Want(pending, demand, spare),
         )
         row = planned.rows[router.identity.incarnation]
-        allowance.expect_limit(row.limit)
+        allowance.lower_limit(row.limit)
         return Write(router.seen[0], planned)
 
     def apply(self, write: Write) -> bool:
@@ -114,6 +114,6 @@
         limits = sum(row.limit for row in self.ledger.rows.values())
         return self.ledger.closed + limits
 
-    def count_room(self) -> int:
-        rooms = (one.allowance.count_room() for one in self.routers)
+    def count_available(self) -> int:
+        rooms = (one.allowance.count_available() for one in self.routers)
         return sum(max(0, room) for room in rooms)
--- a/tests/unit/test_cuts.py
+++ b/tests/unit/test_cuts.py
@@ -18,10 +18,10 @@
 )
 from dykemast._internal.operations.demand import Demand
 from dykemast._internal.operations.ledger_rows import plan_ledger
-from dykemast._internal.operations.return_time import (
+from dykemast._internal.operations.retry_after import (
     ELSEWHERE_TIME,
     OUTAGE_TIME,
-    measure_return_time,
+    compute_retry_after,
 )
 
 ROUTERS = 7
@@ -49,13 +49,13 @@
             self.identity,
             Usage(self.used, self.used),
             Terms(1, PREPAID, ROUTERS),
-            Want(0, self.demand.measure(now)),
+            Want(0, self.demand.compute_rate(now)),
         )
         self.limit = planned.rows[self.identity.incarnation].limit
         return planned
 
     def serve(self, arrival: 'Arrival') -> bool:
-        self.demand.note(arrival.tokens, arrival.at)
+        self.demand.record(arrival.tokens, arrival.at)
         if self.limit - self.used < arrival.tokens:
             return False
         self.used += arrival.tokens
@@ -97,7 +97,7 @@
     """Use the budget while the store answers."""
     ledger = None
     for at, number, tokens in arrivals:
-        routers[number].demand.note(tokens, at)
+        routers[number].demand.record(tokens, at)
         routers[number].used += tokens
         ledger = routers[number].write(ledger, at)
 
@@ -122,13 +122,13 @@
 def test_demand_is_known_soon() -> None:
     demand = Demand()
     for second in range(5):
-        demand.note(1000, second)
-    assert 800 < demand.measure(5) < 1200
+        demand.record(1000, second)
+    assert 800 < demand.compute_rate(5) < 1200
     # One large request is not yet a rate.
     alone = Demand()
-    alone.note(10_000, 0)
-    assert alone.measure(0) < 3500
-    assert not Demand().measure(0)
+    alone.record(10_000, 0)
+    assert alone.compute_rate(0) < 3500
+    assert not Demand().compute_rate(0)
 
 
 def make_ledger(*spare: int) -> BudgetLedger:
@@ -143,15 +143,15 @@
 def test_callers_return_at_once_where_others_have_tokens() -> None:
     # All were told to come back in 4 s, when an answer earns a third.
     rich = make_ledger(9000, 9000, 9000)
-    assert measure_return_time(rich, OWN, 1000, 1) == ELSEWHERE_TIME
-    assert measure_return_time(None, OWN, 1000, 1) == ELSEWHERE_TIME
+    assert compute_retry_after(rich, OWN, 1000, 1) == ELSEWHERE_TIME
+    assert compute_retry_after(None, OWN, 1000, 1) == ELSEWHERE_TIME
 
 
 def test_callers_are_not_sent_round_where_all_are_short() -> None:
     poor = make_ledger(900, 900, 900)
-    assert measure_return_time(poor, OWN, 1000, 0) == OUTAGE_TIME
+    assert compute_retry_after(poor, OWN, 1000, 0) == OUTAGE_TIME
     one_of_four = make_ledger(9000, 0, 0, 0)
-    assert measure_return_time(one_of_four, OWN, 1000, 0) == OUTAGE_TIME
+    assert compute_retry_after(one_of_four, OWN, 1000, 0) == OUTAGE_TIME
     # What the others had when the cut began they have used since.
     rich = make_ledger(9000, 9000, 9000)
-    assert measure_return_time(rich, OWN, 1000, 85) == OUTAGE_TIME
+    assert compute_retry_after(rich, OWN, 1000, 85) == OUTAGE_TIME
--- a/tests/unit/test_entry_choice.py
+++ b/tests/unit/test_entry_choice.py
@@ -64,7 +64,7 @@
     by_processor = measure_strain(board).capacity
     board.settings = common._replace(capacity=Capacity(0.5, 100_000))
     assert measure_strain(board).capacity < by_processor
-    board.arrivals.note(1, read_clock())
+    board.arrivals.record(1, read_clock())
     assert measure_strain(board).rate > 0
 
 
@@ -73,8 +73,8 @@
     now = read_clock()
     assert not sheds_callers(board)
     for _ in range(1000):
-        alone.arrivals.note(1, now)
-        board.arrivals.note(1, now)
+        alone.arrivals.record(1, now)
+        board.arrivals.record(1, now)
     assert not sheds_callers(alone)
     peer = board.peers['node-1']
     peer.strain = Strain(capacity=10, rate=1)
--- a/tests/unit/test_first_keepers.py
+++ b/tests/unit/test_first_keepers.py
@@ -6,9 +6,9 @@
 """
 
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.tokens.budget_keepers import (
-    MEET_TIME,
-    find_keeper,
+from dykemast._internal.serving.tokens.budget_owners import (
+    PEER_DISCOVERY_S,
+    find_owner,
 )
 from tests.lib.serving_boards import make_boards
 
@@ -28,7 +28,7 @@
 
 def list_keepers(boards: list[ServingBoard]) -> set[str]:
     """List whom the routers would ask, themselves included."""
-    found = [(board, find_keeper(board, WORKSPACE)) for board in boards]
+    found = [(board, find_owner(board, WORKSPACE)) for board in boards]
     return {
         keeper.instance if keeper else board.settings.name
         for board, keeper in found
@@ -41,4 +41,4 @@
 
 def test_who_hears_of_nobody_later_on_is_cut_off_and_keeps_all() -> None:
     # To ask a keeper that cannot be reached would cost each search its time.
-    assert len(list_keepers(start_all(age=MEET_TIME + 0.1))) == ROUTERS
+    assert len(list_keepers(start_all(age=PEER_DISCOVERY_S + 0.1))) == ROUTERS
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -61,7 +61,7 @@
     for size in SIZES:
         upkeep = assemble(make_fleet(size)).upkeep
         accounts = [
-            upkeep.budgets.open_account(f'workspace-{number}')
+            upkeep.budgets.get_account(f'workspace-{number}')
             for number in range(BUDGETS)
         ]
         with mock.patch.object(
--- a/tests/unit/test_holder.py
+++ b/tests/unit/test_holder.py
@@ -12,7 +12,7 @@
     holder.usage.wait(300)
     holder.plan_intent(0, 1)
     ack = BudgetAck('shop/main', 'a/1', 1, 300, 300, 0, 700, 1000, 1000)
-    holder.lease.take_ack(ack, 0)
+    holder.lease.apply_ack(ack, 0)
     return holder
 
 
--- a/tests/unit/test_journal_fuzz.py
+++ b/tests/unit/test_journal_fuzz.py
@@ -16,7 +16,10 @@
 )
 from dykemast._internal.models.journal import Entry, EntryKind, Verdict
 from dykemast._internal.network import journal_ledger
-from dykemast._internal.operations.group_commit import Ledger, write_once
+from dykemast._internal.operations.group_commit import (
+    LedgerCallbacks,
+    write_once,
+)
 from tests.lib.fake_platform import FakePlatform, drive
 
 KEEPERS = st.integers(0, 2)
@@ -49,7 +52,7 @@
         shard = self.keepers[keeper]
         for _ in range(TRIES):
             with contextlib.suppress(PlatformError):
-                ledger = Ledger(shard.load, shard.merge)
+                ledger = LedgerCallbacks(shard.load, shard.merge)
                 return drive(write_once(ledger, entries))
             drive(shard.load())
         return None
--- a/tests/unit/test_lease_fuzz.py
+++ b/tests/unit/test_lease_fuzz.py
@@ -12,7 +12,7 @@
     rule,
 )
 
-from dykemast._internal.operations.budget_counts import check_budget
+from dykemast._internal.operations.budget_counts import is_within_paid
 from tests.lib.lease_world import BUDGET, World
 
 ROUTERS = st.integers(0, 2)
@@ -114,8 +114,8 @@
     def lend(self, giver, taker, tokens, lost) -> None:
         if giver != taker and not self.frozen & {giver, taker}:
             world = self.world
-            lender = world.routers[giver].book.holders.get(BUDGET)
-            borrower = world.routers[taker].book.holders.get(BUDGET)
+            lender = world.routers[giver].lease_registry.holders.get(BUDGET)
+            borrower = world.routers[taker].lease_registry.holders.get(BUDGET)
             if lender and borrower:
                 given = lender.lend(tokens, world.now)
                 borrower.borrow(0 if lost else given)
@@ -151,7 +151,7 @@
     def is_never_overspent(self) -> None:
         world = self.world
         assert world.consumed <= world.paid, 'overspent'
-        assert check_budget(world.shard.budget), 'overleased'
+        assert is_within_paid(world.shard.budget), 'overleased'
 
 
 LeaseCase = LeaseMachine.TestCase
--- a/tests/unit/test_lease_messages.py
+++ b/tests/unit/test_lease_messages.py
@@ -1,7 +1,7 @@
 """Messages that are late, lost or repeated, step by step."""
 
 from tests.lib.lease_steps import (
-    count_floor,
+    count_committed,
     find_row,
     make_world,
     use_up,
@@ -44,7 +44,7 @@
     # Cut off now, it may use what it kept and not what it gave back.
     world.now += 60
     world.hold_all(giving)
-    assert count_floor(giving) <= kept
+    assert count_committed(giving) <= kept
     use_up(world)
     assert world.consumed <= world.paid
 
@@ -53,7 +53,7 @@
     world = make_world()
     router = world.routers[0]
     late = world.plan(router)
-    router.book.close_all(world.now, router.seen)
+    router.lease_registry.close_all(world.now, router.seen)
     world.renew(router)
     closed = world.shard.budget
     assert len(closed.rows) == 2
--- a/tests/unit/test_lease_renewals.py
+++ b/tests/unit/test_lease_renewals.py
@@ -5,7 +5,7 @@
 from dykemast._internal.controllers.lease_renewals import LeaseRenewer
 from dykemast._internal.models.budgets import BudgetAck, LeaseIntent
 from dykemast._internal.operations.confirmed_lease import LeaseTerms
-from dykemast._internal.operations.lease_book import Identity, LeaseBook
+from dykemast._internal.operations.lease_registry import Identity, LeaseRegistry
 from dykemast._internal.utils.clock import read_clock
 
 
@@ -33,13 +33,13 @@
 
 
 async def renew_and_close() -> list[bool]:
-    book = LeaseBook(Identity('router-0', 'first'))
-    book.open_holder('shop/main', LeaseTerms(), read_clock())
+    lease_registry = LeaseRegistry(Identity('router-0', 'first'))
+    lease_registry.get_holder('shop/main', LeaseTerms(), read_clock())
     keepers = SlowKeepers()
-    renewer = LeaseRenewer(book, keepers, 'shard', bool)
+    renewer = LeaseRenewer(lease_registry, keepers, 'shard', bool)
     renewing = asyncio.create_task(renewer.renew())
     await asyncio.sleep(0.01)
-    book.close_all(read_clock(), 0)
+    lease_registry.close_all(read_clock(), 0)
     await renewer.renew()
     await renewing
     return keepers.written
--- a/tests/unit/test_ledger_fuzz.py
+++ b/tests/unit/test_ledger_fuzz.py
@@ -40,7 +40,7 @@
     def hold_all(self, number) -> None:
         """Consume whatever the rules allow."""
         router = self.world.routers[number]
-        self.world.hold(router, max(0, router.allowance.count_room()))
+        self.world.hold(router, max(0, router.allowance.count_available()))
 
     @rule(number=ROUTERS, used=st.integers(0, 400))
     def settle(self, number, used) -> None:
@@ -101,7 +101,7 @@
         self._tell(told)
         for number in told:
             allowance = self.world.routers[number].allowance
-            allowance.expect_limit(allowance.count_charged())
+            allowance.lower_limit(allowance.count_charged())
 
     @invariant()
     def consume_no_more_than_was_paid(self) -> None:
@@ -110,7 +110,7 @@
     @invariant()
     def be_able_to_consume_no_more_than_was_paid(self) -> None:
         # What all could hold at this moment, not only what they happen to.
-        possible = self.world.consumed + self.world.count_room()
+        possible = self.world.consumed + self.world.count_available()
         assert possible <= self.world.most_prepaid
 
     @invariant()
--- a/tests/unit/test_ledger_writer.py
+++ b/tests/unit/test_ledger_writer.py
@@ -7,7 +7,7 @@
 from dykemast._internal.operations.allowance_terms import Identity, Terms
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.tokens.accounts import Account
-from dykemast._internal.serving.tokens.budget_upkeep import give_back
+from dykemast._internal.serving.tokens.budget_upkeep import return_spare
 from dykemast._internal.serving.tokens.budgets import Budgets
 from dykemast._internal.serving.tokens.ledger_writer import LedgerWriter
 from dykemast._internal.serving.tokens.upkeep import Upkeep
@@ -56,13 +56,13 @@
     store, board = LateStore(), make_board()
     writer = LedgerWriter(board, store)
     budgets = Budgets(board, Identity('node-0', 'node-0/1'), None)
-    budgets.open_account('w')
+    budgets.get_account('w')
     store.answer_delays = [0.05]
     returning = asyncio.create_task(
-        give_back(Upkeep(board, store, budgets, writer, None))
+        return_spare(Upkeep(board, store, budgets, writer, None))
     )
     await asyncio.sleep(0.01)
-    budgets.open_account('another')
+    budgets.get_account('another')
     assert await returning
 
 
@@ -92,7 +92,7 @@
     writer = LedgerWriter(make_board(), ContendedStore())
     await writer.write(Account('w', Identity('node-0', 'node-0/1')))
     assert not writer.is_away
-    assert writer.may_try()
+    assert writer.may_call_store()
 
 
 async def test_a_contended_budget_is_not_given_back() -> None:
@@ -101,5 +101,5 @@
     store, board = ContendedStore(), make_board()
     writer = LedgerWriter(board, store)
     budgets = Budgets(board, Identity('node-0', 'node-0/1'), None)
-    budgets.open_account('w')
-    assert not await give_back(Upkeep(board, store, budgets, writer, None))
+    budgets.get_account('w')
+    assert not await return_spare(Upkeep(board, store, budgets, writer, None))
--- a/tests/unit/test_loans.py
+++ b/tests/unit/test_loans.py
@@ -4,14 +4,14 @@
 
 from dykemast._internal.models.budget_ledger import BudgetLedger, LedgerRow
 from dykemast._internal.operations.allowance_terms import Identity, Terms
-from dykemast._internal.operations.spare_size import LOSS_SHARE, measure_loan
+from dykemast._internal.operations.spare_size import LOSS_SHARE, compute_loan
 from dykemast._internal.serving.tokens.accounts import (
     EMPTY_TIME,
     Account,
-    note_lent,
+    record_loan,
 )
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.tokens.budget_keepers import find_keeper
+from dykemast._internal.serving.tokens.budget_owners import find_owner
 from dykemast._internal.serving.tokens.budgets import Budgets
 from dykemast._internal.serving.tokens.loans import MAX_LENDERS, choose_lenders
 from dykemast._internal.utils.clock import read_clock
@@ -25,9 +25,9 @@
 def test_a_keeper_asks_those_first_that_it_lent_most() -> None:
     peers = [board.make_card() for board in make_boards(30)[1:]]
     account = make_account()
-    note_lent(account, 'node-7', 5000)
-    note_lent(account, 'node-9', 9000)
-    note_lent(account, 'node-9', -7000)
+    record_loan(account, 'node-7', 5000)
+    record_loan(account, 'node-9', 9000)
+    record_loan(account, 'node-9', -7000)
     chosen = [card.instance for card in choose_lenders(peers, account)]
     assert chosen[:2] == ['node-7', 'node-9']
     assert len(chosen) == MAX_LENDERS, 'others are drawn at random'
@@ -38,7 +38,7 @@
     account = make_account()
     rows = {'x': LedgerRow('node-2', 900, 0, 100, 0)}
     account.ledger = BudgetLedger(1, 1000, rows)
-    note_lent(account, 'node-3', 500)
+    record_loan(account, 'node-3', 500)
     chosen = [card.instance for card in choose_lenders(peers, account)]
     assert chosen == ['node-2', 'node-3', 'node-1']
 
@@ -46,27 +46,29 @@
 def test_an_empty_budget_is_not_written_again_and_again() -> None:
     account = make_account()
     terms = Terms(1, 1000, 2)
-    assert account.may_gain(terms), 'nothing is known of it'
+    assert account.may_get_tokens(terms), 'nothing is known of it'
     account.ledger = BudgetLedger(1, 1000, {}, closed=1000)
     account.written_at = read_clock()
-    assert not account.may_gain(terms)
-    assert account.may_gain(terms._replace(version=2)), 'it may be topped up'
+    assert not account.may_get_tokens(terms)
+    assert account.may_get_tokens(terms._replace(version=2)), (
+        'it may be topped up'
+    )
     account.written_at -= EMPTY_TIME
-    assert account.may_gain(terms)
+    assert account.may_get_tokens(terms)
 
 
 def test_a_borrower_gives_back_what_no_request_holds() -> None:
     boards = make_boards(87)
     kept = find_kept_elsewhere(boards[0])
     budgets = Budgets(boards[0], Identity('node-0', 'node-0/1'), search=None)
-    account = budgets.open_account(kept)
+    account = budgets.get_account(kept)
     account.allowance.borrowed = 3000
     account.allowance.take_hold(1000)
     given = asyncio.run(budgets.lend(kept, 5000, 'node-9', 0))
     assert given == 2000
-    assert account.lent_to == {'node-9': 2000}
+    assert account.net_lent == {'node-9': 2000}
     # It is not the keeper: what the keeper wants is no demand of its own.
-    assert account.demand.measure(read_clock()) == 0
+    assert account.demand.compute_rate(read_clock()) == 0
 
 
 def test_a_borrower_of_the_build_before_gets_what_it_asks_for() -> None:
@@ -75,13 +77,13 @@
     boards = make_boards(87)
     kept = find_kept_elsewhere(boards[0])
     budgets = Budgets(boards[0], Identity('node-0', 'node-0/1'), search=None)
-    budgets.open_account(kept).allowance.borrowed = 3000
+    budgets.get_account(kept).allowance.borrowed = 3000
     assert asyncio.run(budgets.lend(kept, 2000, 'node-9', None)) == 2000
 
 
 def lend_to_all(ledger: BudgetLedger) -> int:
     """Sum what 87 routers get that want 9 s of 100 tokens a second each."""
-    loans = (measure_loan(ledger, 900, 8700) for _ in range(87))
+    loans = (compute_loan(ledger, 900, 8700) for _ in range(87))
     return sum(loans)
 
 
@@ -101,10 +103,10 @@
     lost = int(LOSS_SHARE * whole.prepaid)
     assert lend_to_all(whole._replace(closed_spare=lost)) == 0
     # Somebody who knows nothing of the budget has nothing to weigh.
-    assert measure_loan(None, 500, 0) == 500
+    assert compute_loan(None, 500, 0) == 500
 
 
 def find_kept_elsewhere(board: ServingBoard) -> str:
     """Find a workspace whose budget another router keeps."""
     names = (f'shop-{number}' for number in range(9))
-    return next(name for name in names if find_keeper(board, name))
+    return next(name for name in names if find_owner(board, name))
--- a/tests/unit/test_loans_ahead.py
+++ b/tests/unit/test_loans_ahead.py
@@ -10,7 +10,7 @@
 from dykemast._internal.serving.tokens.token_source import (
     LOAN_TIME,
     TokenSource,
-    measure_reserve,
+    compute_loan_target,
     needs_loan,
 )
 from dykemast._internal.utils.clock import read_clock
@@ -29,7 +29,7 @@
         find_kept_elsewhere(board), Identity('node-0', 'node-0/1')
     )
     for second in range(20):
-        account.demand.note(rate, read_clock() - 20 + second)
+        account.demand.record(rate, read_clock() - 20 + second)
     return account
 
 
@@ -38,7 +38,7 @@
     # left of its last loan, and it refused them for the rest of the cut.
     board = make_boards(30)[0]
     account = make_spending_account(board, 1000)
-    reserve = measure_reserve(account)
+    reserve = compute_loan_target(account)
     account.allowance.confirm_limit(reserve)
     assert not needs_loan(board, account)
     account.allowance.confirm_limit(reserve // 3)
@@ -60,8 +60,8 @@
     reserved = 0
     for number in range(ROUTERS):
         account = Account('joinville', Identity('node-0', 'node-0/1'))
-        account.demand.note(PROMPT, now - SECONDS * number / ROUTERS)
-        reserved += measure_reserve(account)
+        account.demand.record(PROMPT, now - SECONDS * number / ROUTERS)
+        reserved += compute_loan_target(account)
     rate = ROUTERS * PROMPT / SECONDS
     assert reserved < LOAN_TIME * rate
 
--- a/tests/unit/test_reserves.py
+++ b/tests/unit/test_reserves.py
@@ -38,7 +38,7 @@
     """Tell whether one of the least urgent requests gets a hold."""
     source = NoSearch()
     budgets = make_budgets(source)
-    account = budgets.open_account('joinville')
+    account = budgets.get_account('joinville')
     account.allowance.borrowed = room
     if unused is not None:
         account.ledger = BudgetLedger(1, unused, {})
--- a/tests/unit/test_returned_loans.py
+++ b/tests/unit/test_returned_loans.py
@@ -11,8 +11,8 @@
 from dykemast._internal.operations.allowance_terms import Identity
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.tokens import token_search, token_source
-from dykemast._internal.serving.tokens.budget_keepers import find_keeper
-from dykemast._internal.serving.tokens.budget_upkeep import give_back
+from dykemast._internal.serving.tokens.budget_owners import find_owner
+from dykemast._internal.serving.tokens.budget_upkeep import return_spare
 from dykemast._internal.serving.tokens.budgets import Budgets
 from dykemast._internal.serving.tokens.ledger_writer import LedgerWriter
 from dykemast._internal.serving.tokens.upkeep import Upkeep
@@ -51,27 +51,27 @@
         board = make_boards(30)[0]
         board.stopping = True
         workspace = test_loans.find_kept_elsewhere(board)
-        self.keeper = find_keeper(board, workspace)
+        self.keeper = find_owner(board, workspace)
         self.peers = Peers()
         self.store = test_ledger_writer.LateStore()
         self.upkeep = make_upkeep(board, self.store, self.peers)
-        self.account = self.upkeep.budgets.open_account(workspace)
+        self.account = self.upkeep.budgets.get_account(workspace)
         self.account.allowance.borrowed = BORROWED
         self.account.allowance.spent = SPENT
 
 
 def test_a_router_that_stops_returns_what_it_borrowed() -> None:
     router = Stopping()
-    assert asyncio.run(give_back(router.upkeep))
+    assert asyncio.run(return_spare(router.upkeep))
     returned = [call for call in router.peers.calls if call[1] == 'take_back']
     expected = (router.keeper.instance, 'take_back', router.account.workspace)
     assert [call[:3] for call in returned] == [expected]
     assert returned[0][3] == BORROWED - SPENT
-    assert router.account.allowance.count_room() <= 0
+    assert router.account.allowance.count_available() <= 0
 
 
 def test_a_router_that_never_wrote_a_row_writes_none_to_stop() -> None:
     # 87 routers and 24 budgets would make 2,088 calls in a roll of all.
     router = Stopping()
-    assert asyncio.run(give_back(router.upkeep))
+    assert asyncio.run(return_spare(router.upkeep))
     assert not router.store.stored.revision
--- a/tests/unit/test_router_loops.py
+++ b/tests/unit/test_router_loops.py
@@ -18,7 +18,7 @@
 from dykemast._internal.controllers import keepers, runtime
 from dykemast._internal.controllers.instances import InstanceLister
 from dykemast._internal.exceptions import PlatformError
-from dykemast._internal.operations.group_commit import Ledger, Merge
+from dykemast._internal.operations.group_commit import LedgerCallbacks, Merge
 from tests.unit.test_configuration import make_board
 from tools.polling import POLL
 
@@ -61,7 +61,7 @@
         assert await wait_for(lambda: len(runs) > 1)
 
 
-def make_failing_ledger(_: str) -> Ledger:
+def make_failing_ledger(_: str) -> LedgerCallbacks:
     """Make a ledger whose first merge fails unexpectedly."""
     errors = [AttributeError('nobody expects this')]
 
@@ -73,7 +73,7 @@
             raise errors.pop()
         return Merge(dirty=False, acks=intents, save=load)
 
-    return Ledger(load, merge)
+    return LedgerCallbacks(load, merge)
 
 
 async def test_who_waits_for_a_shard_is_told_when_its_writer_fails() -> None:
--- a/tests/unit/test_stranded_budgets.py
+++ b/tests/unit/test_stranded_budgets.py
@@ -11,7 +11,7 @@
 from dykemast._internal.operations.allowance_terms import Identity, Terms
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.tokens.accounts import Account
-from dykemast._internal.serving.tokens.budget_keepers import find_keeper
+from dykemast._internal.serving.tokens.budget_owners import find_owner
 from dykemast._internal.serving.tokens.token_source import TokenSource
 from tests.lib.serving_boards import make_boards
 
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self.written = 0
 
-    def may_try(self) -> bool:
+    def may_call_store(self) -> bool:
         return True
 
     def read_terms(self, _: str) -> Terms:
@@ -48,7 +48,7 @@
 
 def find_kept_elsewhere(board: ServingBoard) -> Account:
     names = (f'shop-{number}' for number in range(99))
-    kept = next(name for name in names if find_keeper(board, name))
+    kept = next(name for name in names if find_owner(board, name))
     account = Account(kept, Identity('node-0', 'node-0/1'))
     account.pending = WANTED
     return account
@@ -58,12 +58,12 @@
     """Tell how many tokens were found, in how many writes."""
     board = make_boards(ROUTERS)[0]
     account = find_kept_elsewhere(board)
-    keeper = find_keeper(board, account.workspace)
+    keeper = find_owner(board, account.workspace)
     board.peers[keeper.instance].budgets_away = keeper_away
     writer = Writer()
     source = TokenSource(board, writer, Gossip(lends))
     asyncio.run(source.find(account))
-    return account.allowance.count_room(), writer.written
+    return account.allowance.count_available(), writer.written
 
 
 def test_who_gets_too_little_of_a_keeper_without_store_asks_the_store() -> None:
--- a/tests/unit/test_stream_usage.py
+++ b/tests/unit/test_stream_usage.py
@@ -16,19 +16,19 @@
 
 def test_a_whole_answer_is_charged_as_it_came() -> None:
     usage = make_usage()
-    assert not usage.count_used()
-    usage.note_run()
-    usage.note_read(40)
-    assert usage.count_used() == PROMPT + 120
-    assert usage.count_most() == PROMPT + OUTPUT
+    assert not usage.count_used_tokens()
+    usage.record_start()
+    usage.record_read(40)
+    assert usage.count_used_tokens() == PROMPT + 120
+    assert usage.count_max_tokens() == PROMPT + OUTPUT
 
 
 def test_what_an_engine_makes_unseen_is_charged() -> None:
     # Two events were charged beyond the ten that had been read.
     usage = make_usage()
-    usage.note_read(10)
-    usage.note_broken()
-    assert usage.count_used() == PROMPT + OUTPUT
+    usage.record_read(10)
+    usage.record_broken_stream()
+    assert usage.count_used_tokens() == PROMPT + OUTPUT
 
 
 @given(st.lists(st.integers(0, MOST_EVENTS), max_size=4))
@@ -42,9 +42,9 @@
     read = 0
     for events in sorted(breaks):
         made += OUTPUT - read * PER_EVENT
-        assert PROMPT + made <= usage.count_most()
+        assert PROMPT + made <= usage.count_max_tokens()
         read = events
-        usage.note_read(read)
-        usage.note_broken()
+        usage.record_read(read)
+        usage.record_broken_stream()
     if breaks:
-        assert PROMPT + made <= usage.count_used()
+        assert PROMPT + made <= usage.count_used_tokens()
--- a/tools/hall_mutations.py
+++ b/tools/hall_mutations.py
@@ -115,7 +115,7 @@
     Mutation(
         'choose a keeper among those that are heard at the start',
         'tokens do not hang on one router',
-        f'{_INTERNAL}/serving/tokens/budget_keepers.py',
+        f'{_INTERNAL}/serving/tokens/budget_owners.py',
         'peers = board.peers.values() if young else list_heard(board)',
         'peers = list_heard(board) if young else list_heard(board)',
         'test_first_keepers',
--- a/tools/load_mutations.py
+++ b/tools/load_mutations.py
@@ -45,7 +45,7 @@
     Mutation(
         'send callers round although all are short',
         _SERVED,
-        f'{_INTERNAL}/operations/return_time.py',
+        f'{_INTERNAL}/operations/retry_after.py',
         'likely = len(able) > LIKELY_SHARE * len(others)',
         'likely = True',
         _CUTS,
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -105,7 +105,7 @@
         'forget returns that are not acknowledged',
         _OVERSPEND,
         f'{_INTERNAL}/operations/confirmed_lease.py',
-        'kept = [plan.keep for plan in self._pending]',
+        'kept = [plan.min_allotted for plan in self._pending]',
         'kept: list[int] = []',
         _MESSAGES,
     ),
--- a/tools/serving_mutations.py
+++ b/tools/serving_mutations.py
@@ -284,7 +284,7 @@
         'take a budget with counts below zero',
         'spend never exceeds the budget',
         f'{_INTERNAL}/serving/tokens/ledger_objects.py',
-        'if not ledger.is_sound():',
+        'if not ledger.has_valid_counts():',
         'if not ledger:',
         'test_foreign_rows',
     ),
--- a/tools/simulation/sharings.py
+++ b/tools/simulation/sharings.py
@@ -4,7 +4,7 @@
 from dykemast._internal.operations.budget_shard import apply_intent
 from dykemast._internal.operations.confirmed_lease import LeaseTerms
 from dykemast._internal.operations.holder import Holder
-from dykemast._internal.operations.lease_book import Identity, LeaseBook
+from dykemast._internal.operations.lease_registry import Identity, LeaseRegistry
 from tools.simulation.model import ROUTERS, Sharing, World
 
 _BUDGET = 'shop/main'
@@ -35,7 +35,7 @@
         topup = TopupIntent(_BUDGET, 'first', world.paid)
         self.budget = apply_intent(Budget(), topup).budget
         self.books = [
-            LeaseBook(Identity(f'i{number}', f'a{number}'))
+            LeaseRegistry(Identity(f'i{number}', f'a{number}'))
             for number in range(ROUTERS)
         ]
 
@@ -74,8 +74,8 @@
         :param router: which router.
         :param now: seconds.
         """
-        book = self.books[router]
-        plans = book.plan_renewals(lambda _: True, now, self.version)
+        lease_registry = self.books[router]
+        plans = lease_registry.plan_renewals(lambda _: True, now, self.version)
         if not plans or not self.world.net.platform:
             return
         self.world.writes += 1
@@ -84,7 +84,7 @@
             self.budget = applied.budget
             ack = applied.ack._replace(budget=_BUDGET, version=self.version)
             self.version += 1
-            book.take_ack(ack, now)
+            lease_registry.apply_ack(ack, now)
 
     def borrow(self, router: int, tokens: int, now: float) -> None:
         """Borrow from the routers that can be reached.
@@ -98,7 +98,7 @@
             if other != router and self.world.reaches(router, other):
                 lender = self.find(other, now)
                 holder.borrow(lender.lend(tokens * _AHEAD, now))
-            if holder.count_room(now) >= tokens:
+            if holder.count_available(now) >= tokens:
                 return
 
     def find(self, router: int, now: float) -> Holder:
@@ -108,4 +108,4 @@
         :param now: seconds.
         :returns: the lease.
         """
-        return self.books[router].open_holder(_BUDGET, LeaseTerms(), now)
+        return self.books[router].get_holder(_BUDGET, LeaseTerms(), now)
--- a/tools/slope_times.py
+++ b/tools/slope_times.py
@@ -49,12 +49,12 @@
 def time_leases() -> Iterator[Slope]:
     """Measure leases."""
     budget = apply_intent(Budget(), TopupIntent('b', 't', COUNT**2)).budget
-    book = worlds.make_book(COUNT)
+    lease_registry = worlds.make_book(COUNT)
 
     def renew() -> None:
-        for plan in book.plan_renewals(bool, _NOW, 1):
+        for plan in lease_registry.plan_renewals(bool, _NOW, 1):
             ack = apply_intent(budget, plan).ack
-            book.take_ack(ack._replace(budget=plan.budget), _NOW)
+            lease_registry.apply_ack(ack._replace(budget=plan.budget), _NOW)
 
     yield Slope('renewal of one lease', PROCESSOR, clock(renew, COUNT))
 
--- a/tools/slope_worlds.py
+++ b/tools/slope_worlds.py
@@ -15,23 +15,25 @@
 )
 from dykemast._internal.operations import journal_merge, peers, worker_load
 from dykemast._internal.operations.confirmed_lease import LeaseTerms
-from dykemast._internal.operations.lease_book import Identity, LeaseBook
+from dykemast._internal.operations.lease_registry import Identity, LeaseRegistry
 
 _NOW: Final = 990
 _HOLD: Final = 400
 
 
-def make_book(count: int) -> LeaseBook:
+def make_book(count: int) -> LeaseRegistry:
     """Make the leases of a router that holds many budgets.
 
     :param count: how many budgets.
     :returns: the leases, each in use and due for renewal.
     """
-    book = LeaseBook(Identity('instance-1', 'a' * 16))
+    lease_registry = LeaseRegistry(Identity('instance-1', 'a' * 16))
     for number in range(count):
-        holder = book.open_holder(f'workspace-{number}/main', LeaseTerms(), 1)
+        holder = lease_registry.get_holder(
+            f'workspace-{number}/main', LeaseTerms(), 1
+        )
         holder.usage.add_hold(_HOLD, _NOW)
-    return book
+    return lease_registry
 
 
 def make_revision(workspaces: int) -> Revision:
@@ -63,13 +65,13 @@
     return Revision(1, 'first', configuration)
 
 
-def make_records(count: int) -> dict[str, journal_merge.Record]:
+def make_records(count: int) -> dict[str, journal_merge.KeyRecord]:
     """Make the index of a journal keeper.
 
     :param count: how many keys.
     :returns: the index.
     """
-    records: dict[str, journal_merge.Record] = {}
+    records: dict[str, journal_merge.KeyRecord] = {}
     for entry in make_entries(count):
         journal_merge.add_entry(records, entry)
     return records
--- a/tools/stop_mutations.py
+++ b/tools/stop_mutations.py
@@ -57,8 +57,8 @@
         'give tokens back once, whatever comes of it',
         _TOKENS,
         _STOP,
-        'while not await budget_upkeep.give_back(runtime.assembly.upkeep):',
-        'if not await budget_upkeep.give_back(runtime.assembly.upkeep):',
+        'while not await budget_upkeep.return_spare(runtime.assembly.upkeep):',
+        'if not await budget_upkeep.return_spare(runtime.assembly.upkeep):',
         'test_tokens_go_back_though',
     ),
     Mutation(
