--- a/src/dykemast/_internal/models/crashes.py
+++ b/src/dykemast/_internal/models/crashes.py
@@ -7,11 +7,11 @@
     """A request that had just begun at a backend server when that ended.
 
     :param request: digest by which it is known again.
-    :param sent_age: seconds since it was sent there.
+    :param sent_age_s: seconds since it was sent there.
     """
 
     request: str
-    sent_age: float
+    sent_age_s: float
 
 
 class ServerCrash(NamedTuple):
@@ -60,7 +60,7 @@
     terms: int
 
 
-class CrashNews(NamedTuple):
+class CrashGossip(NamedTuple):
     """All that one router tells of crashes.
 
     :param crashes: servers that ended.
--- a/src/dykemast/_internal/models/news.py
+++ b/src/dykemast/_internal/models/news.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from dykemast._internal.models.backend import Evacuations, ServerLimit
-from dykemast._internal.models.crashes import CrashNews
+from dykemast._internal.models.crashes import CrashGossip
 from dykemast._internal.models.fleet import PeerCard
 from dykemast._internal.models.long_pauses import LongPauses
 
@@ -117,7 +117,7 @@
     strain: Strain
     absent: tuple[AbsentServer, ...]
     pauses: tuple[LongPauses, ...] = ()
-    crashes: CrashNews = CrashNews()
+    crashes: CrashGossip = CrashGossip()
     evacuations: Evacuations = Evacuations()
     budgets_away: bool = False
     limits: tuple[ServerLimit, ...] = ()
--- a/src/dykemast/_internal/operations/broken_sends.py
+++ b/src/dykemast/_internal/operations/broken_sends.py
@@ -3,17 +3,17 @@
 import asyncio
 from typing import Final, NamedTuple
 
-from dykemast._internal.operations.crash_chains import Run
+from dykemast._internal.operations.crash_sequences import CrashedRun
 
 #: Seconds from the first event on after which a run has begun well: whoever
 #: ends a server does so when it begins to run.
-BEGIN_TIME: Final = 1.0
+SUSPECT_WINDOW_S: Final = 1.0
 #: Seconds within which ends count as one moment: what it takes until a loss of
 #: all servers of a service is noticed at each of them.
-MOMENT: Final = 1.0
+SIMULTANEOUS_WINDOW_S: Final = 1.0
 #: Seconds after which it does not matter any more why a send broke off: the
 #: entry of a server that ended is gone by then, or names another start.
-WAIT_TIME: Final = 6.0
+BROKEN_SEND_RETENTION_S: Final = 6.0
 
 
 class BrokenSend(NamedTuple):
@@ -39,7 +39,7 @@
         """
         if self.event_at is None:
             return True
-        return self.broken_at - self.event_at <= BEGIN_TIME
+        return self.broken_at - self.event_at <= SUSPECT_WINDOW_S
 
 
 class BrokenSends:
@@ -61,7 +61,7 @@
         self._sends.setdefault(broken.server, []).append(broken)
         self.pending.set()
 
-    def note_end(self, service: str, now: float) -> None:
+    def record_server_crash(self, service: str, now: float) -> None:
         """Take note that a server ended whose sends broke off.
 
         :param service: that it served.
@@ -95,24 +95,24 @@
         self._sends = {
             server: sends
             for server, sends in self._sends.items()
-            if now - sends[0].broken_at < WAIT_TIME
+            if now - sends[0].broken_at < BROKEN_SEND_RETENTION_S
         }
         self.ended_at = {
             service: at
             for service, at in self.ended_at.items()
-            if now - at < MOMENT
+            if now - at < SIMULTANEOUS_WINDOW_S
         }
         if not self._sends and not self.ended_at:
             self.pending.clear()
 
-    def list_runs(self, request: str) -> list[Run]:
+    def list_runs(self, request: str) -> list[CrashedRun]:
         """List the runs of a request that broke off as it had just begun.
 
         :param request: its digest.
         :returns: the runs, as if their servers had ended.
         """
         return [
-            Run(one.server, one.sent_at, one.broken_at)
+            CrashedRun(one.server, one.sent_at, one.broken_at)
             for sends in self._sends.values()
             for one in sends
             if one.request == request and one.had_just_begun()
--- a/src/dykemast/_internal/operations/crash_evidence.py
+++ b/src/dykemast/_internal/operations/crash_evidence.py
@@ -10,7 +10,7 @@
 MAX_SUSPECTS: Final = 64
 
 
-def note_crash(table: CrashTable, crash: ServerCrash, now: float) -> bool:
+def record_crash(table: CrashTable, crash: ServerCrash, now: float) -> bool:
     """Take note that a server has ended.
 
     :param table: what is known; times of an end that it knows stay.
@@ -44,7 +44,7 @@
     return True
 
 
-def clear(table: CrashTable, request: str, now: float) -> bool:
+def clear_suspect(table: CrashTable, request: str, now: float) -> bool:
     """Clear a request of all that is known of it until now.
 
     :param table: what is known.
@@ -52,7 +52,10 @@
     :param now: seconds.
     :returns: whether anything was.
     """
-    if request not in table.chains and request not in table.quarantines:
+    if (
+        request not in table.crash_sequences
+        and request not in table.quarantines
+    ):
         return False
     table.cleared[request] = now
     return True
@@ -68,7 +71,7 @@
     for suspect in crash.suspects:
         # Of several sends the first may have ended it, and was there before
         # what a later one seems to follow.
-        sent_at = now - suspect.sent_age
+        sent_at = now - suspect.sent_age_s
         first_at = known.sent_at.get(suspect.request, sent_at)
         known.sent_at[suspect.request] = min(first_at, sent_at)
     if len(known.sent_at) > MAX_SUSPECTS:
@@ -92,7 +95,7 @@
     sent_at = crash.sent_at
     ranked = sorted(
         sent_at,
-        key=lambda name: (table.count_ends(name), sent_at[name]),
+        key=lambda name: (table.count_crashes(name), sent_at[name]),
         reverse=True,
     )
     return ranked[:count]
--- a/src/dykemast/_internal/operations/crash_news.py
+++ b/src/dykemast/_internal/operations/crash_gossip.py
@@ -5,35 +5,40 @@
 
 from dykemast._internal.models.crashes import (
     Clearance,
-    CrashNews,
+    CrashGossip,
     Quarantine,
 )
-from dykemast._internal.operations.crash_ends import DIGITS, tell_ends
-from dykemast._internal.operations.crash_evidence import note_crash
+from dykemast._internal.operations.crash_selection import (
+    AGE_DECIMALS,
+    select_crashes,
+)
+from dykemast._internal.operations.crash_evidence import record_crash
 from dykemast._internal.operations.crash_table import CrashTable, QuarantineTerm
 
 #: Requests that are told of at once, of those that are cleared and of those in
 #: quarantine; the newest come first, and the store keeps all of the latter.
 MAX_REQUESTS: Final = 64
 #: Seconds by which word of the same run may differ that came over others.
-SAME_RUN: Final = 1.0
+SAME_RUN_TOLERANCE_S: Final = 1.0
 
 
-def tell_crashes(table: CrashTable, now: float) -> CrashNews:
+def build_crash_gossip(table: CrashTable, now: float) -> CrashGossip:
     """Tell others what is known.
 
     :param table: what is known.
     :param now: seconds.
     :returns: the news, bounded.
     """
-    return CrashNews(
-        tell_ends(table, now),
+    return CrashGossip(
+        select_crashes(table, now),
         _tell_clearances(table, now),
         _tell_quarantines(table, now),
     )
 
 
-def take_crashes(table: CrashTable, news: CrashNews, now: float) -> bool:
+def apply_crash_gossip(
+    table: CrashTable, news: CrashGossip, now: float
+) -> bool:
     """Take what a peer tells.
 
     :param table: what is known.
@@ -41,13 +46,13 @@
     :param now: seconds.
     :returns: whether any of it was new.
     """
-    changes = [note_crash(table, one, now) for one in news.crashes]
+    changes = [record_crash(table, one, now) for one in news.crashes]
     changes += [_take_clearance(table, one, now) for one in news.clearances]
-    changes += [take_quarantine(table, one, now) for one in news.quarantines]
+    changes += [apply_quarantine(table, one, now) for one in news.quarantines]
     return any(changes)
 
 
-def take_quarantine(table: CrashTable, told: Quarantine, now: float) -> bool:
+def apply_quarantine(table: CrashTable, told: Quarantine, now: float) -> bool:
     """Take a quarantine that another router decided.
 
     :param table: what is known.
@@ -73,7 +78,7 @@
         table.cleared.items(), key=operator.itemgetter(1), reverse=True
     )
     return tuple(
-        Clearance(request, round(now - cleared_at, DIGITS))
+        Clearance(request, round(now - cleared_at, AGE_DECIMALS))
         for request, cleared_at in newest[:MAX_REQUESTS]
     )
 
@@ -81,7 +86,7 @@
 def _take_clearance(table: CrashTable, told: Clearance, now: float) -> bool:
     cleared_at = now - told.age
     known = table.cleared.get(told.request)
-    if known is not None and known >= cleared_at - SAME_RUN:
+    if known is not None and known >= cleared_at - SAME_RUN_TOLERANCE_S:
         return False
     table.cleared[told.request] = cleared_at
     return True
@@ -96,8 +101,8 @@
     return tuple(
         Quarantine(
             request,
-            round(now - term.decided_at, DIGITS),
-            round(max(0, term.until - now), DIGITS),
+            round(now - term.decided_at, AGE_DECIMALS),
+            round(max(0, term.until - now), AGE_DECIMALS),
             term.terms,
         )
         for request, term in newest[:MAX_REQUESTS]
--- a/src/dykemast/_internal/operations/crash_keeping.py
+++ b/src/dykemast/_internal/operations/crash_persistence.py
@@ -8,14 +8,14 @@
 
 from dykemast._internal.models.crashes import CrashRecord
 from dykemast._internal.operations.crash_records import (
-    MAX_BESIDE,
+    MAX_CO_SUSPECTS,
     MAX_SERVERS,
 )
 from dykemast._internal.operations.crash_table import CrashTable
 
 #: Ends from which on a request is kept: one end has many suspects, of whom a
 #: second leaves hardly any but those that end servers.
-KEPT_ENDS: Final = 2
+MIN_STORED_CRASHES: Final = 2
 
 
 def make_record(table: CrashTable, request: str) -> CrashRecord:
@@ -25,8 +25,8 @@
     :param request: its digest.
     :returns: the record.
     """
-    chain = table.chains.get(request, [])[-MAX_SERVERS:]
-    servers = tuple(run.server for run in chain)
+    sequence = table.crash_sequences.get(request, [])[-MAX_SERVERS:]
+    servers = tuple(run.server for run in sequence)
     term = table.quarantines.get(request)
     return CrashRecord(
         request,
@@ -36,7 +36,7 @@
     )
 
 
-def list_unkept(table: CrashTable) -> list[CrashRecord]:
+def list_unsaved_records(table: CrashTable) -> list[CrashRecord]:
     """List what the store has to hold and does not.
 
     :param table: what is known.
@@ -48,7 +48,7 @@
     return [one for one in records if not _is_kept(table, one)]
 
 
-def list_superfluous(table: CrashTable) -> list[str]:
+def list_stale_records(table: CrashTable) -> list[str]:
     """List the requests that the store holds and has not to hold any more.
 
     :param table: what is known.
@@ -57,7 +57,7 @@
     return [
         request
         for request in table.kept
-        if request not in table.quarantines and not table.count_ends(request)
+        if request not in table.quarantines and not table.count_crashes(request)
     ]
 
 
@@ -72,16 +72,16 @@
         other
         for other in _list_repeated(table)
         if other != request
-        and any(run.server == server for run in table.chains[other])
+        and any(run.server == server for run in table.crash_sequences[other])
     )
-    return tuple(sorted(others)[:MAX_BESIDE])
+    return tuple(sorted(others)[:MAX_CO_SUSPECTS])
 
 
 def _list_repeated(table: CrashTable) -> list[str]:
     return [
         request
-        for request, chain in table.chains.items()
-        if len(chain) >= KEPT_ENDS
+        for request, sequence in table.crash_sequences.items()
+        if len(sequence) >= MIN_STORED_CRASHES
     ]
 
 
--- a/src/dykemast/_internal/operations/crash_records.py
+++ b/src/dykemast/_internal/operations/crash_records.py
@@ -13,15 +13,15 @@
     ServerCrash,
     Suspect,
 )
-from dykemast._internal.operations.crash_evidence import note_crash
-from dykemast._internal.operations.crash_review import measure_term
-from dykemast._internal.operations.crash_news import take_quarantine
+from dykemast._internal.operations.crash_evidence import record_crash
+from dykemast._internal.operations.crash_review import compute_quarantine_time
+from dykemast._internal.operations.crash_gossip import apply_quarantine
 from dykemast._internal.operations.crash_table import CrashTable
 
 #: Servers that are believed of one record.
 MAX_SERVERS: Final = 16
 #: Other requests that are believed to have been at one of them.
-MAX_BESIDE: Final = 8
+MAX_CO_SUSPECTS: Final = 8
 
 
 _Names = tuple[str, ...]
@@ -34,7 +34,7 @@
     beside: NotRequired[list[_Names]]
 
 
-def take_record(table: CrashTable, record: CrashRecord, now: float) -> None:
+def apply_record(table: CrashTable, record: CrashRecord, now: float) -> None:
     """Take over what the store holds of a request.
 
     When its servers ended is not told: they count as ended now, a moment after
@@ -48,11 +48,11 @@
     if record.request in table.cleared:
         return
     for crash in _make_crashes(table, record, now):
-        note_crash(table, crash, now)
+        record_crash(table, crash, now)
     if record.terms:
-        term = measure_term(record.terms)
+        term = compute_quarantine_time(record.terms)
         decided = Quarantine(record.request, 0, term, record.terms)
-        take_quarantine(table, decided, now)
+        apply_quarantine(table, decided, now)
 
 
 def _make_crashes(
@@ -112,5 +112,5 @@
         raise NotUsableError('a record of crashes is of another request.')
     return record._replace(
         servers=record.servers[:MAX_SERVERS],
-        beside=tuple(others[:MAX_BESIDE] for others in record.beside),
+        beside=tuple(others[:MAX_CO_SUSPECTS] for others in record.beside),
     )
--- a/src/dykemast/_internal/operations/crash_retention.py
+++ b/src/dykemast/_internal/operations/crash_retention.py
@@ -3,7 +3,10 @@
 from collections.abc import Mapping
 from typing import Final
 
-from dykemast._internal.operations.crash_table import KEEP_TIME, CrashTable
+from dykemast._internal.operations.crash_table import (
+    CRASH_RETENTION_S,
+    CrashTable,
+)
 
 #: Ends that are kept: some times the servers of a large service.
 MAX_CRASHES: Final = 256
@@ -12,13 +15,13 @@
 MAX_REQUESTS: Final = 1000
 
 
-def forget_old(table: CrashTable, now: float) -> None:
+def prune_expired(table: CrashTable, now: float) -> None:
     """Forget what does not count any more.
 
     :param table: what is known.
     :param now: seconds.
     """
-    limit = now - KEEP_TIME
+    limit = now - CRASH_RETENTION_S
     _forget_crashes(table, limit)
     _forget_quarantines(table, limit)
     for request in _find_old(table.cleared, limit, MAX_REQUESTS):
--- a/src/dykemast/_internal/operations/crash_review.py
+++ b/src/dykemast/_internal/operations/crash_review.py
@@ -2,50 +2,50 @@
 
 from typing import Final
 
-from dykemast._internal.operations.crash_chains import (
+from dykemast._internal.operations.crash_sequences import (
     count_unexplained,
-    find_chain,
+    find_crash_sequence,
 )
-from dykemast._internal.operations.crash_retention import forget_old
-from dykemast._internal.operations.crash_runs import list_present, list_runs
+from dykemast._internal.operations.crash_retention import prune_expired
+from dykemast._internal.operations.crash_runs import list_suspects_at, list_runs
 from dykemast._internal.operations.crash_table import (
-    KEEP_TIME,
+    CRASH_RETENTION_S,
     CrashTable,
     QuarantineTerm,
 )
 
 #: Ends of servers, one after another, for which a request is quarantined: users
 #: bear three before all routers have to know it.
-QUARANTINE_ENDS: Final = 3
+QUARANTINE_CRASHES: Final = 3
 #: Those among them that no other request may explain as well. With fewer, who
 #: was with such a request each time would be quarantined too; with all three,
 #: two such requests that met once would both go on.
-UNEXPLAINED_ENDS: Final = 2
+UNEXPLAINED_CRASHES: Final = 2
 #: Seconds after an end before it decides: what else ended at that moment is
 #: known by then, and a run that was under way elsewhere has begun well. Users
 #: give 3 s; until then the request is held back.
-SETTLE_TIME: Final = 1.5
+DECISION_DELAY_S: Final = 1.5
 #: Seconds for which a quarantine holds at first, as ends count; each next one
 #: holds twice as long.
-QUARANTINE_TIME: Final = KEEP_TIME
+QUARANTINE_S: Final = CRASH_RETENTION_S
 MAX_DOUBLINGS: Final = 6
 
 
-def review(table: CrashTable, now: float) -> list[str]:
+def review_suspects(table: CrashTable, now: float) -> list[str]:
     """Review all after something was taken note of, or time has passed.
 
     :param table: what is known.
     :param now: seconds.
     :returns: requests that are in quarantine from now on.
     """
-    forget_old(table, now)
+    prune_expired(table, now)
     runs = list_runs(table)
-    table.chains = {
-        request: find_chain(ended) for request, ended in runs.items()
+    table.crash_sequences = {
+        request: find_crash_sequence(ended) for request, ended in runs.items()
     }
     crashing = [
         request
-        for request in table.chains
+        for request in table.crash_sequences
         if _is_crashing(table, request) and _is_settled(table, request, now)
     ]
     for request in crashing:
@@ -53,7 +53,9 @@
     return crashing
 
 
-def measure_settling(table: CrashTable, request: str, now: float) -> float:
+def compute_decision_delay(
+    table: CrashTable, request: str, now: float
+) -> float:
     """Measure until when it is decided whether a request ends servers.
 
     :param table: what is known.
@@ -61,22 +63,22 @@
     :param now: seconds.
     :returns: seconds; 0 when nothing is to be decided.
     """
-    if request not in table.chains or not _is_crashing(table, request):
+    if request not in table.crash_sequences or not _is_crashing(table, request):
         return 0
-    return max(0, _find_decisive(table, request) + SETTLE_TIME - now)
+    return max(0, _find_decisive(table, request) + DECISION_DELAY_S - now)
 
 
-def measure_term(terms: int) -> float:
+def compute_quarantine_time(terms: int) -> float:
     """Measure for how long a quarantine holds.
 
     :param terms: how often it was decided.
     :returns: seconds.
     """
-    return QUARANTINE_TIME * 2 ** min(MAX_DOUBLINGS, terms - 1)
+    return QUARANTINE_S * 2 ** min(MAX_DOUBLINGS, terms - 1)
 
 
 def _is_settled(table: CrashTable, request: str, now: float) -> bool:
-    return now >= _find_decisive(table, request) + SETTLE_TIME
+    return now >= _find_decisive(table, request) + DECISION_DELAY_S
 
 
 def _find_decisive(table: CrashTable, request: str) -> float:
@@ -84,28 +86,30 @@
 
     Ends after it put nothing off: routers that have not heard may go on.
     """
-    ended_at = [run.ended_at for run in table.chains[request]]
+    ended_at = [run.ended_at for run in table.crash_sequences[request]]
     term = table.quarantines.get(request)
     if term:
         return min(one for one in ended_at if one > term.until)
-    return ended_at[QUARANTINE_ENDS - 1]
+    return ended_at[QUARANTINE_CRASHES - 1]
 
 
 def _is_crashing(table: CrashTable, request: str) -> bool:
-    chain = table.chains[request]
+    sequence = table.crash_sequences[request]
     term = table.quarantines.get(request)
     if term:
         # It was given another chance, and ended the server that took it.
-        return chain[-1].ended_at > term.until
-    if len(chain) < QUARANTINE_ENDS:
+        return sequence[-1].ended_at > term.until
+    if len(sequence) < QUARANTINE_CRASHES:
         return False
-    present = {run.server: list_present(table, run.server) for run in chain}
-    unexplained = count_unexplained(request, table.chains, present)
-    return unexplained >= UNEXPLAINED_ENDS
+    present = {
+        run.server: list_suspects_at(table, run.server) for run in sequence
+    }
+    unexplained = count_unexplained(request, table.crash_sequences, present)
+    return unexplained >= UNEXPLAINED_CRASHES
 
 
 def _quarantine(table: CrashTable, request: str, now: float) -> None:
     term = table.quarantines.get(request)
     terms = term.terms + 1 if term else 1
-    until = now + measure_term(terms)
+    until = now + compute_quarantine_time(terms)
     table.quarantines[request] = QuarantineTerm(now, until, terms)
--- a/src/dykemast/_internal/operations/crash_runs.py
+++ b/src/dykemast/_internal/operations/crash_runs.py
@@ -3,29 +3,29 @@
 from collections.abc import Iterator
 from typing import Final
 
-from dykemast._internal.operations.broken_sends import MOMENT
-from dykemast._internal.operations.crash_chains import Run
+from dykemast._internal.operations.broken_sends import SIMULTANEOUS_WINDOW_S
+from dykemast._internal.operations.crash_sequences import CrashedRun
 from dykemast._internal.operations.crash_table import Crash, CrashTable
 
 #: Ends of servers from which on a request runs alone: it is not repeated, and
 #: a router has one of it in progress. The next end decides.
-TRIAL_ENDS: Final = 2
+TRIAL_CRASHES: Final = 2
 
 
-def list_runs(table: CrashTable) -> dict[str, list[Run]]:
+def list_runs(table: CrashTable) -> dict[str, list[CrashedRun]]:
     """List the runs that tell something.
 
     :param table: what is known.
     :returns: runs by request.
     """
-    runs: dict[str, list[Run]] = {}
+    runs: dict[str, list[CrashedRun]] = {}
     for server in table.crashes:
         for request, run in _list_runs_at(table, server):
             runs.setdefault(request, []).append(run)
     return runs
 
 
-def list_present(table: CrashTable, server: str) -> list[str]:
+def list_suspects_at(table: CrashTable, server: str) -> list[str]:
     """List who may have ended a server and has not run well since.
 
     :param table: what is known.
@@ -53,20 +53,22 @@
     :returns: other requests.
     """
     rivals: set[str] = set()
-    for run in table.chains.get(request, ()):
-        present = list_present(table, run.server)
+    for run in table.crash_sequences.get(request, ()):
+        present = list_suspects_at(table, run.server)
         if table.quarantines.keys().isdisjoint(present):
             rivals.update(present)
     rivals.discard(request)
-    return {one for one in rivals if table.count_ends(one) >= TRIAL_ENDS}
+    return {one for one in rivals if table.count_crashes(one) >= TRIAL_CRASHES}
 
 
-def _list_runs_at(table: CrashTable, server: str) -> Iterator[tuple[str, Run]]:
+def _list_runs_at(
+    table: CrashTable, server: str
+) -> Iterator[tuple[str, CrashedRun]]:
     crash = table.crashes[server]
-    for request in list_present(table, server):
+    for request in list_suspects_at(table, server):
         if not _is_common(table, request, crash):
             sent_at = crash.sent_at[request]
-            yield request, Run(server, sent_at, crash.ended_at)
+            yield request, CrashedRun(server, sent_at, crash.ended_at)
 
 
 def _is_common(table: CrashTable, request: str, crash: Crash) -> bool:
@@ -87,7 +89,7 @@
 def _ended_with(crash: Crash, other: Crash) -> bool:
     if other.refuted or other.service != crash.service:
         return False
-    return abs(other.ended_at - crash.ended_at) <= MOMENT
+    return abs(other.ended_at - crash.ended_at) <= SIMULTANEOUS_WINDOW_S
 
 
 def _is_after(request: str, crash: Crash, other: Crash) -> bool:
--- a/src/dykemast/_internal/operations/crash_ends.py
+++ b/src/dykemast/_internal/operations/crash_selection.py
@@ -8,16 +8,16 @@
 
 #: Seconds for which others are told of an end none of whose suspects has
 #: another: some times what news take to reach all routers of a large fleet.
-TELL_TIME: Final = 15.0
+SINGLE_CRASH_GOSSIP_S: Final = 15.0
 #: Ends, and suspects of each, that are told at once, together some 4 KB at the
 #: worst; the most suspicious and the newest come first.
-MAX_CRASHES: Final = 8
-MAX_SUSPECTS: Final = 16
+MAX_REPORTED_CRASHES: Final = 8
+MAX_REPORTED_SUSPECTS: Final = 16
 #: Digits of ages, in seconds.
-DIGITS: Final = 3
+AGE_DECIMALS: Final = 3
 
 
-def tell_ends(table: CrashTable, now: float) -> tuple[ServerCrash, ...]:
+def select_crashes(table: CrashTable, now: float) -> tuple[ServerCrash, ...]:
     """Tell others of ends of servers.
 
     :param table: what is known.
@@ -33,7 +33,8 @@
         reverse=True,
     )
     return tuple(
-        _tell_end(table, server, now) for _, server in ranked[:MAX_CRASHES]
+        _tell_end(table, server, now)
+        for _, server in ranked[:MAX_REPORTED_CRASHES]
     )
 
 
@@ -42,21 +43,24 @@
 
 
 def _count_most(table: CrashTable, crash: Crash) -> int:
-    return max(map(table.count_ends, crash.sent_at), default=0)
+    return max(map(table.count_crashes, crash.sent_at), default=0)
 
 
 def _is_worth_telling(table: CrashTable, crash: Crash, now: float) -> bool:
-    return now - crash.ended_at < TELL_TIME or _count_most(table, crash) > 1
+    return (
+        now - crash.ended_at < SINGLE_CRASH_GOSSIP_S
+        or _count_most(table, crash) > 1
+    )
 
 
 def _tell_end(table: CrashTable, server: str, now: float) -> ServerCrash:
     crash = table.crashes[server]
     return ServerCrash(
         server,
-        round(now - crash.ended_at, DIGITS),
+        round(now - crash.ended_at, AGE_DECIMALS),
         tuple(
-            Suspect(name, round(now - crash.sent_at[name], DIGITS))
-            for name in rank_suspects(table, crash, MAX_SUSPECTS)
+            Suspect(name, round(now - crash.sent_at[name], AGE_DECIMALS))
+            for name in rank_suspects(table, crash, MAX_REPORTED_SUSPECTS)
         ),
         crash.service,
         crash.others,
--- a/src/dykemast/_internal/operations/crash_chains.py
+++ b/src/dykemast/_internal/operations/crash_sequences.py
@@ -23,7 +23,7 @@
 from typing import NamedTuple
 
 
-class Run(NamedTuple):
+class CrashedRun(NamedTuple):
     """A run of a request that was under way when its server ended.
 
     :param server: name of the start of the server.
@@ -36,37 +36,37 @@
     ended_at: float
 
 
-def find_chain(runs: Iterable[Run]) -> list[Run]:
+def find_crash_sequence(runs: Iterable[CrashedRun]) -> list[CrashedRun]:
     """Find the longest row of runs that ended servers one after another.
 
     :param runs: of one request.
     :returns: runs, each begun after the one before had ended.
     """
-    chain: list[Run] = []
+    sequence: list[CrashedRun] = []
     for run in sorted(runs, key=operator.attrgetter('ended_at')):
-        if not chain or run.sent_at > chain[-1].ended_at:
-            chain.append(run)
-    return chain
+        if not sequence or run.sent_at > sequence[-1].ended_at:
+            sequence.append(run)
+    return sequence
 
 
 def count_unexplained(
     request: str,
-    chains: Mapping[str, list[Run]],
+    crash_sequences: Mapping[str, list[CrashedRun]],
     present: Mapping[str, Iterable[str]],
 ) -> int:
     """Count the ends that no other request explains as well.
 
     :param request: the request.
-    :param chains: of all requests.
+    :param crash_sequences: of all requests.
     :param present: requests that had just begun at each server that ended.
     :returns: how many of its chain are its own.
     """
-    own = len(chains[request])
+    own = len(crash_sequences[request])
     return sum(
         all(
-            len(chains.get(other, ())) < own
+            len(crash_sequences.get(other, ())) < own
             for other in present[run.server]
             if other != request
         )
-        for run in chains[request]
+        for run in crash_sequences[request]
     )
--- a/src/dykemast/_internal/operations/crash_table.py
+++ b/src/dykemast/_internal/operations/crash_table.py
@@ -3,11 +3,11 @@
 from typing import Final, NamedTuple
 
 from dykemast._internal.models.crashes import CrashRecord
-from dykemast._internal.operations.crash_chains import Run
+from dykemast._internal.operations.crash_sequences import CrashedRun
 
 #: Seconds for which the end of a server counts, and a run that cleared a
 #: request: about what it takes to roll a mended server out.
-KEEP_TIME: Final = 600.0
+CRASH_RETENTION_S: Final = 600.0
 
 
 class Crash:
@@ -67,7 +67,7 @@
         self.quarantines: dict[str, QuarantineTerm] = {}
         #: Runs of each request under which servers ended one after another;
         #: made by ``crash_review``.
-        self.chains: dict[str, list[Run]] = {}
+        self.crash_sequences: dict[str, list[CrashedRun]] = {}
         #: What the store is known to hold of requests.
         self.kept: dict[str, CrashRecord] = {}
         #: When that was asked for that this router knows all of, from the
@@ -87,17 +87,17 @@
 
         :returns: whether that is so.
         """
-        return not self.chains and not self.quarantines
+        return not self.crash_sequences and not self.quarantines
 
-    def count_ends(self, request: str) -> int:
+    def count_crashes(self, request: str) -> int:
         """Count the servers that ended under a request, one after another.
 
         :param request: its digest.
         :returns: how many.
         """
-        return len(self.chains.get(request, ()))
+        return len(self.crash_sequences.get(request, ()))
 
-    def measure_quarantine(self, request: str, now: float) -> float | None:
+    def get_quarantine_left(self, request: str, now: float) -> float | None:
         """Measure for how long a request is still in quarantine.
 
         :param request: its digest.
--- a/src/dykemast/_internal/operations/request_identity.py
+++ b/src/dykemast/_internal/operations/request_identity.py
@@ -56,7 +56,7 @@
         self._parts = (request, workspace, body)
         self._digest = ''
 
-    def read(self) -> str:
+    def compute_digest(self) -> str:
         """Read the digest.
 
         :returns: the same for a request that is asked anew.
--- a/src/dykemast/_internal/serving/admission/quarantine.py
+++ b/src/dykemast/_internal/serving/admission/quarantine.py
@@ -8,31 +8,31 @@
 from collections.abc import Iterator
 from typing import Final
 
-from dykemast._internal.operations.crash_review import measure_settling
+from dykemast._internal.operations.crash_review import compute_decision_delay
 from dykemast._internal.operations.crash_runs import list_rivals
 from dykemast._internal.operations.request_identity import RequestIdentity
 from dykemast._internal.serving.admission.trials import (
-    has_duty,
+    is_responsible,
     is_on_trial,
-    may_begin,
+    may_start_trial,
 )
 from dykemast._internal.serving.requests.refusals import (
     RefusalCode,
     RefusedError,
 )
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.state.quarantines import knows_all
+from dykemast._internal.serving.state.quarantines import is_crash_table_current
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds after which a caller may come back while the same request, or one
 #: that is not told from it, runs alone: longer than a server that it ends takes
 #: to be noticed.
-TRIAL_RETRY: Final = 1.0
+TRIAL_RETRY_S: Final = 1.0
 #: Rivals of a request that a log line names.
 MAX_RIVALS: Final = 8
 #: Seconds after which one may come back to a router that has just started, or
 #: woken up, and asks which requests are in quarantine.
-START_RETRY: Final = 0.2
+STARTUP_RETRY_S: Final = 0.2
 
 
 def check_quarantine(board: ServingBoard, identity: RequestIdentity) -> None:
@@ -42,12 +42,12 @@
     :param identity: of the request.
     :raises RefusedError: when it is.
     """
-    if not knows_all(board):
+    if not is_crash_table_current(board):
         details = {'instead': RefusalCode.quarantined.name}
-        raise RefusedError(RefusalCode.not_current, details, START_RETRY)
+        raise RefusedError(RefusalCode.not_current, details, STARTUP_RETRY_S)
     if board.crashes.is_empty():
         return
-    request = identity.read()
+    request = identity.compute_digest()
     held = _measure_hold(board, request)
     if held:
         raise _refuse(board, request, held)
@@ -56,18 +56,18 @@
 def _measure_hold(board: ServingBoard, request: str) -> float:
     """Measure for how long a request has to stay away; 0 if it may go on."""
     now = read_clock()
-    settling = measure_settling(board.crashes, request, now)
-    left = board.crashes.measure_quarantine(request, now)
+    settling = compute_decision_delay(board.crashes, request, now)
+    left = board.crashes.get_quarantine_left(request, now)
     if settling or left is None:
         return settling
-    if not left and not has_duty(board, request):
+    if not left and not is_responsible(board, request):
         # It is over: one router finds out whether it still ends servers.
-        return TRIAL_RETRY
+        return TRIAL_RETRY_S
     return left
 
 
 @contextlib.contextmanager
-def pass_gate(
+def admit_request(
     board: ServingBoard,
     identity: RequestIdentity,
     service: str,
@@ -83,9 +83,9 @@
     if not is_on_trial(board, identity):
         yield
         return
-    request = identity.read()
-    if not may_begin(board, request, service):
-        raise _refuse(board, request, TRIAL_RETRY)
+    request = identity.compute_digest()
+    if not may_start_trial(board, request, service):
+        raise _refuse(board, request, TRIAL_RETRY_S)
     board.trials.add(request)
     try:
         yield
@@ -93,7 +93,7 @@
         board.trials.discard(request)
 
 
-def find_suspicion(board: ServingBoard, identity: RequestIdentity) -> str:
+def find_suspect_digest(board: ServingBoard, identity: RequestIdentity) -> str:
     """Find out whether a server has ended under a request.
 
     :param board: the blackboard.
@@ -102,8 +102,8 @@
     """
     if board.crashes.is_empty():
         return ''
-    request = identity.read()
-    return request if board.crashes.count_ends(request) else ''
+    request = identity.compute_digest()
+    return request if board.crashes.count_crashes(request) else ''
 
 
 def _refuse(
@@ -111,10 +111,10 @@
     request: str,
     retry_after: float,
 ) -> RefusedError:
-    chain = board.crashes.chains.get(request, [])
+    sequence = board.crashes.crash_sequences.get(request, [])
     details = {
         'same_as': request,
-        'servers': [run.server for run in chain],
+        'servers': [run.server for run in sequence],
         'on_trial': request in board.trials,
         'rivals': sorted(list_rivals(board.crashes, request))[:MAX_RIVALS],
     }
--- a/src/dykemast/_internal/serving/admission/trials.py
+++ b/src/dykemast/_internal/serving/admission/trials.py
@@ -8,8 +8,8 @@
 
 from typing import Final
 
-from dykemast._internal.operations.crash_chains import find_chain
-from dykemast._internal.operations.crash_runs import TRIAL_ENDS, list_rivals
+from dykemast._internal.operations.crash_sequences import find_crash_sequence
+from dykemast._internal.operations.crash_runs import TRIAL_CRASHES, list_rivals
 from dykemast._internal.operations.rendezvous import choose_keeper
 from dykemast._internal.operations.request_identity import RequestIdentity
 from dykemast._internal.serving.knowledge.backends import list_usable
@@ -18,7 +18,7 @@
 
 #: Seconds since an end in which one router alone has these turns; later all
 #: have, as the callers of one may not ask for each request.
-TURN_TIME: Final = 10.0
+EXCLUSIVE_TRIAL_S: Final = 10.0
 
 
 def is_on_trial(board: ServingBoard, identity: RequestIdentity) -> bool:
@@ -30,16 +30,16 @@
     """
     if board.crashes.is_empty() and not board.broken.pending.is_set():
         return False
-    request = identity.read()
+    request = identity.compute_digest()
     if request in board.crashes.quarantines:
         return True
     # What broke off a moment ago may turn out to be the end of a server.
-    known = board.crashes.chains.get(request, [])
-    ends = find_chain([*known, *board.broken.list_runs(request)])
-    return len(ends) >= TRIAL_ENDS
+    known = board.crashes.crash_sequences.get(request, [])
+    ends = find_crash_sequence([*known, *board.broken.list_runs(request)])
+    return len(ends) >= TRIAL_CRASHES
 
 
-def may_begin(board: ServingBoard, request: str, service: str) -> bool:
+def may_start_trial(board: ServingBoard, request: str, service: str) -> bool:
     """Tell whether a request on trial may be sent from here now.
 
     :param board: the blackboard.
@@ -54,10 +54,10 @@
         return True
     if not board.trials.isdisjoint(rivals):
         return False
-    return _is_over(board, request) or has_duty(board, service)
+    return _is_over(board, request) or is_responsible(board, service)
 
 
-def has_duty(board: ServingBoard, duty: str) -> bool:
+def is_responsible(board: ServingBoard, duty: str) -> bool:
     """Tell whether this router has a duty that one router has.
 
     :param board: the blackboard.
@@ -75,5 +75,5 @@
 
 
 def _is_over(board: ServingBoard, request: str) -> bool:
-    chain = board.crashes.chains[request]
-    return read_clock() - chain[-1].ended_at > TURN_TIME
+    sequence = board.crashes.crash_sequences[request]
+    return read_clock() - sequence[-1].ended_at > EXCLUSIVE_TRIAL_S
--- a/src/dykemast/_internal/serving/knowledge/crash_records.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_records.py
@@ -16,7 +16,7 @@
 from dykemast._internal.serving.state.quarantines import (
     clear_request,
     review_crashes,
-    knows_all,
+    is_crash_table_current,
 )
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
@@ -24,9 +24,9 @@
 _log = make_logger('crashes')
 
 #: Seconds in which changes gather before they are read.
-WATCH_PAUSE: Final = 0.1
+WATCH_BATCH_S: Final = 0.1
 #: Seconds between two looks whether this router has to read.
-LOOK_PAUSE: Final = 0.2
+CHECK_INTERVAL_S: Final = 0.2
 _SOURCE: Final = 'store'
 
 
@@ -39,7 +39,7 @@
 
     def take_object(stored: StoreObject) -> None:
         record = crash_records.decode_record(stored.name, stored.spec)
-        crash_records.take_record(board.crashes, record, read_clock())
+        crash_records.apply_record(board.crashes, record, read_clock())
         review_crashes(board, _SOURCE)
 
     def drop_object(name: str) -> None:
@@ -63,7 +63,7 @@
         drop_object,
         ignore_object,
         note_revision,
-        WATCH_PAUSE,
+        WATCH_BATCH_S,
         told={},
     )
 
@@ -84,9 +84,9 @@
     if board.settings.first_start:
         board.crashes.asked_at = read_clock()
     while True:
-        if not knows_all(board):
+        if not is_crash_table_current(board):
             await _read(board, store, follower)
-        await asyncio.sleep(LOOK_PAUSE)
+        await asyncio.sleep(CHECK_INTERVAL_S)
 
 
 async def _read(
--- a/src/dykemast/_internal/serving/knowledge/crash_writes.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_writes.py
@@ -5,9 +5,9 @@
 
 from dykemast._internal.exceptions import PlatformError
 from dykemast._internal.models.crashes import CrashRecord
-from dykemast._internal.operations.crash_keeping import (
-    list_superfluous,
-    list_unkept,
+from dykemast._internal.operations.crash_persistence import (
+    list_stale_records,
+    list_unsaved_records,
 )
 from dykemast._internal.operations.rendezvous import rank_keepers
 from dykemast._internal.platform.objects import ObjectStore
@@ -24,11 +24,11 @@
 
 #: Seconds between two looks at what has to be written: two ends of servers are
 #: some tenths apart, and the write itself takes some milliseconds.
-WRITE_PAUSE: Final = 0.2
+WRITE_INTERVAL_S: Final = 0.2
 #: Seconds to wait after a write that failed.
-RETRY_PAUSE: Final = 0.3
+RETRY_DELAY_S: Final = 0.3
 #: Seconds after which the next router writes what the first has not.
-NEXT_WRITER: Final = 1.0
+WRITER_TAKEOVER_S: Final = 1.0
 
 
 async def write_records(board: ServingBoard, store: ObjectStore) -> None:
@@ -39,23 +39,23 @@
     """
     since: dict[str, float] = {}
     while True:
-        await asyncio.sleep(WRITE_PAUSE)
+        await asyncio.sleep(WRITE_INTERVAL_S)
         # An end decides, and is forgotten, some time after it was noted.
         review_crashes(board, 'time')
         now = read_clock()
-        unkept = list_unkept(board.crashes)
+        unkept = list_unsaved_records(board.crashes)
         since = {one.request: since.get(one.request, now) for one in unkept}
         for record in unkept:
             if _has_turn(board, record, now - since[record.request]):
                 await _try_write(board, store, record)
-        for request in list_superfluous(board.crashes):
+        for request in list_stale_records(board.crashes):
             await _try_delete(board, store, request)
 
 
 def _has_turn(board: ServingBoard, record: CrashRecord, age: float) -> bool:
     heard = [peer.card.instance for peer in list_heard(board)]
     ranked = rank_keepers(record.request, [board.settings.name, *heard])
-    return ranked.index(board.settings.name) <= age / NEXT_WRITER
+    return ranked.index(board.settings.name) <= age / WRITER_TAKEOVER_S
 
 
 async def _try_write(
@@ -71,7 +71,7 @@
             same_as=record.request,
             reason=str(error),
         )
-        await asyncio.sleep(RETRY_PAUSE)
+        await asyncio.sleep(RETRY_DELAY_S)
         return
     board.crashes.kept[record.request] = record
     _log(
--- a/src/dykemast/_internal/serving/members/peer_fetches.py
+++ b/src/dykemast/_internal/serving/members/peer_fetches.py
@@ -14,7 +14,7 @@
     server_lists,
 )
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.state.quarantines import note_answer
+from dykemast._internal.serving.state.quarantines import record_crash_answer
 from dykemast._internal.utils.events import make_logger
 
 _log = make_logger('gossip')
@@ -52,7 +52,7 @@
         if body:
             server_lists.take_from_peer(board, body, card.instance)
     note_ages(board, news, asked_at)
-    note_answer(board, news.crashes, asked_at)
+    record_crash_answer(board, news.crashes, asked_at)
 
 
 def note_ages(board: ServingBoard, news: News, asked_at: float) -> None:
--- a/src/dykemast/_internal/serving/members/peer_news.py
+++ b/src/dykemast/_internal/serving/members/peer_news.py
@@ -9,8 +9,8 @@
 from dykemast._internal.serving.state.fleet_size import is_large
 from dykemast._internal.serving.state.loads import Loads
 from dykemast._internal.serving.state.quarantines import (
-    take_crashes,
-    tell_crashes,
+    apply_crash_gossip,
+    build_crash_gossip,
 )
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
@@ -47,7 +47,7 @@
             strain=strain.measure_strain(self._board),
             absent=self._loads.absent.tell(read_clock()),
             pauses=self._loads.pauses.tell(read_clock()),
-            crashes=tell_crashes(self._board),
+            crashes=build_crash_gossip(self._board),
             evacuations=self._board.evacuations,
             budgets_away=self._board.budgets_away,
             limits=self._board.asks.limits.tell(read_clock()),
@@ -91,7 +91,7 @@
         self._board.heard_version = max(
             self._board.heard_version, card.revision
         )
-        take_crashes(self._board, news.crashes, card.instance)
+        apply_crash_gossip(self._board, news.crashes, card.instance)
         take_evacuations(self._board, news.evacuations, card.instance)
 
     def _take_servers(self, news: News, now: float) -> None:
--- a/src/dykemast/_internal/serving/process/description.py
+++ b/src/dykemast/_internal/serving/process/description.py
@@ -36,7 +36,7 @@
         'loop_failures': board.loops.failures,
         'loops_failing': len(board.loops.list_failing(now)),
         'loop_late_s': round(board.watch.measure_lateness(now), 3),
-        'requests_suspected': len(board.crashes.chains),
+        'requests_suspected': len(board.crashes.crash_sequences),
         'requests_quarantined': len(board.crashes.quarantines),
         **_describe_ages(board),
     }
--- a/src/dykemast/_internal/serving/relay/attempts.py
+++ b/src/dykemast/_internal/serving/relay/attempts.py
@@ -11,8 +11,8 @@
     compute_retry_after,
 )
 from dykemast._internal.serving.relay.send_outcomes import (
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
 )
 from dykemast._internal.serving.relay.server_search import find_server
 from dykemast._internal.serving.relay.sends import Send, log_send
@@ -85,9 +85,9 @@
             await deliver(send)
         except UpstreamError as error:
             self.may_have_run = self.may_have_run or error.sent
-            note_failure(self._exchange, send, error)
+            record_failure(self._exchange, send, error)
             return error
-        note_success(self._exchange, send)
+        record_success(self._exchange, send)
         return None
 
     def _refuse(
--- a/src/dykemast/_internal/serving/relay/crash_probes.py
+++ b/src/dykemast/_internal/serving/relay/crash_probes.py
@@ -13,7 +13,7 @@
 from dykemast._internal.serving.choice.outcomes import note_absent
 from dykemast._internal.serving.knowledge.backends import list_usable
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.relay.crash_notes import note_end
+from dykemast._internal.serving.relay.crash_recording import record_server_crash
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
 
@@ -21,7 +21,7 @@
 
 #: Seconds to wait for a connection to a server that may have ended: links take
 #: some milliseconds, and one that ended refuses at once.
-PROBE_TIMEOUT: Final = 0.3
+PROBE_TIMEOUT_S: Final = 0.3
 
 
 async def probe_services(parts: Parts) -> None:
@@ -45,7 +45,7 @@
         await probe_server(parts, server)
         if not parts.loads.absent.is_absent(server.name, read_clock()):
             return
-        note_end(board, server.name, service)
+        record_server_crash(board, server.name, service)
 
 
 async def probe_server(parts: Parts, server: BackendServer) -> None:
@@ -56,7 +56,7 @@
     """
     # Silence shows nothing: the link may be cut.
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(PROBE_TIMEOUT):
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
             await _connect(parts, server)
 
 
--- a/src/dykemast/_internal/serving/relay/crash_notes.py
+++ b/src/dykemast/_internal/serving/relay/crash_recording.py
@@ -3,9 +3,12 @@
 from typing import Final
 
 from dykemast._internal.models.crashes import ServerCrash, Suspect
-from dykemast._internal.operations.broken_sends import MOMENT, BrokenSend
+from dykemast._internal.operations.broken_sends import (
+    SIMULTANEOUS_WINDOW_S,
+    BrokenSend,
+)
 from dykemast._internal.operations.crash_evidence import (
-    note_crash,
+    record_crash,
     refute_crash,
 )
 from dykemast._internal.serving.knowledge.backends import list_usable
@@ -23,7 +26,7 @@
 _SOURCE: Final = 'own'
 
 
-def note_well(board: ServingBoard, send: Send) -> None:
+def record_healthy_run(board: ServingBoard, send: Send) -> None:
     """Take note of a run that came to its end, or has begun well.
 
     :param board: the blackboard.
@@ -35,10 +38,10 @@
     if refute_crash(table, send.server.name):
         _log('end_refuted', server=send.server.name)
         review_crashes(board, _SOURCE)
-    clear_request(board, send.identity.read(), send.server.name)
+    clear_request(board, send.identity.compute_digest(), send.server.name)
 
 
-def note_end(board: ServingBoard, name: str, service: str) -> None:
+def record_server_crash(board: ServingBoard, name: str, service: str) -> None:
     """Take note that a server has ended.
 
     :param board: the blackboard.
@@ -50,7 +53,7 @@
         return
     now = read_clock()
     if sends and service:
-        board.broken.note_end(service, now)
+        board.broken.record_server_crash(service, now)
     crash = _describe_end(board, sends, ServerCrash(name, 0, (), service))
     _log(
         'server_ended',
@@ -60,7 +63,7 @@
         others=crash.others,
         suspects=[one.request for one in crash.suspects],
     )
-    if note_crash(board.crashes, crash, now):
+    if record_crash(board.crashes, crash, now):
         review_crashes(board, _SOURCE)
 
 
@@ -92,7 +95,7 @@
     crashes = board.crashes.crashes
     return sum(
         one.name not in crashes
-        or crashes[one.name].ended_at > ended_at - MOMENT
+        or crashes[one.name].ended_at > ended_at - SIMULTANEOUS_WINDOW_S
         for one in list_usable(board, crash.service)
         if one.name != crash.server
     )
--- a/src/dykemast/_internal/serving/relay/crash_watch.py
+++ b/src/dykemast/_internal/serving/relay/crash_watch.py
@@ -11,7 +11,7 @@
 from dykemast._internal.exceptions import UpstreamError
 from dykemast._internal.operations.broken_sends import BrokenSend
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.relay.crash_notes import note_end
+from dykemast._internal.serving.relay.crash_recording import record_server_crash
 from dykemast._internal.serving.relay.crash_probes import (
     probe_server,
     probe_services,
@@ -22,13 +22,13 @@
 
 #: Seconds between two looks. A server that is ended by a request is noticed
 #: before its caller asks again.
-LOOK_PAUSE: Final = 0.1
+CHECK_INTERVAL_S: Final = 0.1
 #: Seconds after a break in which its server is asked whether it is there; from
 #: then on its entry, and what others find, tell it without a connection.
-PROBE_TIME: Final = 0.5
+PROBE_WINDOW_S: Final = 0.5
 
 
-def note_break(
+def record_broken_send(
     board: ServingBoard,
     send: Send,
     error: UpstreamError,
@@ -44,11 +44,15 @@
         # It ends as planned.
         return
     if error.absent:
-        note_end(board, server.name, server.service)
+        record_server_crash(board, server.name, server.service)
     if error.broken:
         now = read_clock()
         broken = BrokenSend(
-            server.name, send.identity.read(), send.sent_at, send.event_at, now
+            server.name,
+            send.identity.compute_digest(),
+            send.sent_at,
+            send.event_at,
+            now,
         )
         board.broken.note(broken)
 
@@ -66,15 +70,15 @@
         await asyncio.gather(*looks)
         await probe_services(parts)
         broken.forget(read_clock())
-        await asyncio.sleep(LOOK_PAUSE)
+        await asyncio.sleep(CHECK_INTERVAL_S)
 
 
 async def _look(parts: Parts, name: str, broken_at: float) -> None:
     server = parts.board.servers.get(name)
-    if server and read_clock() - broken_at < PROBE_TIME:
+    if server and read_clock() - broken_at < PROBE_WINDOW_S:
         await probe_server(parts, server)
     if _has_ended(parts, name):
-        note_end(parts.board, name, server.service if server else '')
+        record_server_crash(parts.board, name, server.service if server else '')
 
 
 def _has_ended(parts: Parts, name: str) -> bool:
--- a/src/dykemast/_internal/serving/relay/dispatch.py
+++ b/src/dykemast/_internal/serving/relay/dispatch.py
@@ -2,7 +2,7 @@
 
 from dykemast._internal.models.routing_table import RouteKind
 from dykemast._internal.serving.admission.gates import check_servers
-from dykemast._internal.serving.admission.quarantine import pass_gate
+from dykemast._internal.serving.admission.quarantine import admit_request
 from dykemast._internal.serving.relay import plain_calls, stream_requests
 from dykemast._internal.serving.relay.exchange import Exchange
 
@@ -16,7 +16,7 @@
     check_servers(exchange.parts.board, exchange.ticket)
     # Before any tokens are held for it.
     service = exchange.ticket.service.name
-    with pass_gate(exchange.parts.board, exchange.identity, service):
+    with admit_request(exchange.parts.board, exchange.identity, service):
         if exchange.ticket.route.kind is RouteKind.stream:
             await stream_requests.serve_stream(exchange)
         else:
--- a/src/dykemast/_internal/serving/relay/event_parser.py
+++ b/src/dykemast/_internal/serving/relay/event_parser.py
@@ -5,7 +5,7 @@
 from dykemast._internal.exceptions import UpstreamError
 
 #: Bytes of one event at most.
-MAX_EVENT: Final = 1_048_576
+MAX_EVENT_BYTES: Final = 1_048_576
 _END: Final = b'\n\n'
 _ID: Final = b'id:'
 
@@ -26,11 +26,11 @@
         """
         events = (self._rest + chunk).split(_END)
         self._rest = events.pop()
-        if len(self._rest) > MAX_EVENT:
+        if len(self._rest) > MAX_EVENT_BYTES:
             raise UpstreamError('an event is too long', sent=True)
         return [event + _END for event in events]
 
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Tell whether an event has begun and is not whole.
 
         :returns: whether there is one.
@@ -38,7 +38,7 @@
         return bool(self._rest)
 
 
-def read_event_id(event: bytes) -> str:
+def parse_event_id(event: bytes) -> str:
     """Read the id of an event.
 
     :param event: the event.
--- a/src/dykemast/_internal/serving/relay/event_relay.py
+++ b/src/dykemast/_internal/serving/relay/event_relay.py
@@ -4,7 +4,7 @@
 from dykemast._internal.models.forwarding import AnswerHead
 from dykemast._internal.serving.relay.event_parser import (
     EventParser,
-    read_event_id,
+    parse_event_id,
 )
 from dykemast._internal.serving.requests.responder import Responder
 from dykemast._internal.utils.clock import read_clock
@@ -48,7 +48,7 @@
         if self.first_at is None:
             self.first_at = read_clock()
         self.events += len(whole)
-        self.last_event = read_event_id(whole[-1]) or self.last_event
+        self.last_event = parse_event_id(whole[-1]) or self.last_event
         await self._send_head()
         await self._responder.write(b''.join(whole), more=True)
         return True
@@ -58,7 +58,7 @@
 
         :raises UpstreamError: when its last event is not whole.
         """
-        if self._parser.has_rest():
+        if self._parser.has_partial_event():
             raise UpstreamError('the last event is not whole', sent=True)
         await self._send_head()
         await self._responder.write(b'', more=False)
--- a/src/dykemast/_internal/serving/relay/event_streams.py
+++ b/src/dykemast/_internal/serving/relay/event_streams.py
@@ -9,7 +9,7 @@
 from dykemast._internal.serving.relay.exchange import Exchange
 from dykemast._internal.serving.relay.payments import Payment
 from dykemast._internal.serving.relay.pauses import PauseMeter
-from dykemast._internal.serving.relay.readings import Reading, note_prompt
+from dykemast._internal.serving.relay.prefill import Prefill, record_prompt
 from dykemast._internal.serving.relay.sends import Send
 from dykemast._internal.serving.sending.sending import make_sending
 from dykemast._internal.serving.sending.upstream_answer import Answer
@@ -29,7 +29,7 @@
         self._parts = exchange.parts
         self._ticket = exchange.ticket
         self._body = exchange.body
-        self._attempts = Attempts(exchange, payment.hold_again)
+        self._attempts = Attempts(exchange, payment.hold_for_retry)
         self.relay = EventRelay(exchange.responder)
         self._payment = payment
 
@@ -43,9 +43,9 @@
     async def _deliver(self, send: Send) -> None:
         server = send.server
         unread = count_missing(self._parts, self._ticket, server.name)
-        reading = Reading(self._parts, server.name, unread)
+        prefill = Prefill(self._parts, server.name, unread)
         try:
-            await self._send(send, reading)
+            await self._send(send, prefill)
         except UpstreamError as error:
             if error.sent:
                 self._payment.usage.record_broken_stream()
@@ -56,17 +56,17 @@
             self._payment.usage.record_broken_stream()
             raise
         finally:
-            reading.end()
+            prefill.end()
             self._parts.loads.own.end(server.name)
 
-    async def _send(self, send: Send, reading: Reading) -> None:
+    async def _send(self, send: Send, prefill: Prefill) -> None:
         sending = make_sending(self._ticket, self._body, send.server)
         sending = sending.resume_after(self.relay.last_event)
         async with self._parts.upstreams.send(sending) as answer:
             # From here on it ran, also when the answer is a failure.
             self._attempts.may_have_run = True
             self._payment.usage.record_start()
-            note_prompt(self._parts, self._ticket, send.server)
+            record_prompt(self._parts, self._ticket, send.server)
             if answer.head.status >= _FIRST_FAILURE:
                 await self._pass_failure(answer)
                 return
@@ -74,7 +74,7 @@
             meter = PauseMeter(self._parts, self._ticket, send)
             async for chunk in answer.read_chunks(self._ticket.deadline):
                 if await self.relay.pass_chunk(chunk):
-                    reading.end()
+                    prefill.end()
                     self._payment.usage.record_read(self.relay.events)
                     meter.note_event()
             await self.relay.finish()
--- a/src/dykemast/_internal/serving/relay/pauses.py
+++ b/src/dykemast/_internal/serving/relay/pauses.py
@@ -1,7 +1,7 @@
 """Pauses between the events of one stream at one engine."""
 
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.relay.crash_notes import note_well
+from dykemast._internal.serving.relay.crash_recording import record_healthy_run
 from dykemast._internal.serving.relay.sends import Send
 from dykemast._internal.serving.requests.ticket import Ticket
 from dykemast._internal.utils.clock import read_clock
@@ -41,7 +41,7 @@
         else:
             self._note_pause(now - self._last, now)
         if self._send.note_event(now):
-            note_well(self._board, self._send)
+            record_healthy_run(self._board, self._send)
         self._last = now
 
     def log_end(self, events: int) -> None:
--- a/src/dykemast/_internal/serving/relay/payments.py
+++ b/src/dykemast/_internal/serving/relay/payments.py
@@ -49,7 +49,7 @@
         self._holds.append(more)
         self._parts.meters.tokens.add({'state': 'held'}, missing)
 
-    async def hold_again(self) -> None:
+    async def hold_for_retry(self) -> None:
         """Hold what one more engine may make of an answer that broke off.
 
         :raises RefusedError: when there are not as many tokens; it has run,
--- a/src/dykemast/_internal/serving/relay/readings.py
+++ b/src/dykemast/_internal/serving/relay/prefill.py
@@ -6,7 +6,7 @@
 from dykemast._internal.utils.clock import read_clock
 
 
-def note_prompt(parts: Parts, ticket: Ticket, server: BackendServer) -> None:
+def record_prompt(parts: Parts, ticket: Ticket, server: BackendServer) -> None:
     engine = ticket.service.engine
     parts.loads.caches.note_sent(
         server.name,
@@ -16,7 +16,7 @@
     )
 
 
-class Reading:
+class Prefill:
     """The reading of a prompt by an engine, which ends once."""
 
     def __init__(self, parts: Parts, server: str, unread: int) -> None:
--- a/src/dykemast/_internal/serving/relay/retries.py
+++ b/src/dykemast/_internal/serving/relay/retries.py
@@ -14,14 +14,14 @@
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds that have to be left for another try to make sense.
-MIN_TIME_LEFT: Final = 0.05
+MIN_TIME_LEFT_S: Final = 0.05
 #: Servers tried for one request at most, those included that were not there:
 #: a few times what routes allow.
 MAX_SENDS: Final = 5
 #: Seconds after which a caller is told to come back at least, and times by
 #: which it may be told to come back later than a server may get its request.
-MIN_RETURN: Final = 0.01
-MAX_SPREAD: Final = 1.25
+MIN_RETRY_AFTER_S: Final = 0.01
+MAX_RETRY_AFTER_FACTOR: Final = 1.25
 
 
 def may_retry(exchange: Exchange, sends: int, error: UpstreamError) -> bool:
@@ -46,7 +46,7 @@
     :param ticket: the request.
     :returns: whether it does.
     """
-    return ticket.deadline - read_clock() >= MIN_TIME_LEFT
+    return ticket.deadline - read_clock() >= MIN_TIME_LEFT_S
 
 
 def compute_retry_after(exchange: Exchange) -> float:
@@ -59,7 +59,9 @@
     if not wait or math.isinf(wait):
         return SERVER_RETRY
     # All who wait for that moment would else come back together.
-    return max(wait, MIN_RETURN) * random.uniform(1, MAX_SPREAD)
+    return max(wait, MIN_RETRY_AFTER_S) * random.uniform(
+        1, MAX_RETRY_AFTER_FACTOR
+    )
 
 
 def _is_allowed(exchange: Exchange, sends: int, error: UpstreamError) -> bool:
--- a/src/dykemast/_internal/serving/relay/send_outcomes.py
+++ b/src/dykemast/_internal/serving/relay/send_outcomes.py
@@ -5,8 +5,8 @@
     note_absent,
     note_outcome,
 )
-from dykemast._internal.serving.relay.crash_notes import note_well
-from dykemast._internal.serving.relay.crash_watch import note_break
+from dykemast._internal.serving.relay.crash_recording import record_healthy_run
+from dykemast._internal.serving.relay.crash_watch import record_broken_send
 from dykemast._internal.serving.relay.exchange import Exchange
 from dykemast._internal.serving.relay.sends import Send
 from dykemast._internal.utils.events import make_logger
@@ -14,17 +14,17 @@
 _log = make_logger('route')
 
 
-def note_success(exchange: Exchange, send: Send) -> None:
+def record_success(exchange: Exchange, send: Send) -> None:
     """Take note of an answer that was passed on whole.
 
     :param exchange: the request.
     :param send: the send.
     """
     note_outcome(exchange.parts, send.server, failed=False)
-    note_well(exchange.parts.board, send)
+    record_healthy_run(exchange.parts.board, send)
 
 
-def note_failure(
+def record_failure(
     exchange: Exchange,
     send: Send,
     error: UpstreamError,
@@ -38,7 +38,7 @@
     if not isinstance(error, HeldBackError):
         # Not a failure of the server.
         note_outcome(exchange.parts, send.server, failed=True)
-    note_break(exchange.parts.board, send, error)
+    record_broken_send(exchange.parts.board, send, error)
     if error.absent:
         note_absent(exchange.parts, send.server)
     _log(
--- a/src/dykemast/_internal/serving/relay/sends.py
+++ b/src/dykemast/_internal/serving/relay/sends.py
@@ -4,7 +4,7 @@
 
 from dykemast._internal.exceptions import UpstreamError
 from dykemast._internal.models.backend import BackendServer
-from dykemast._internal.operations.broken_sends import BEGIN_TIME
+from dykemast._internal.operations.broken_sends import SUSPECT_WINDOW_S
 from dykemast._internal.operations.request_identity import RequestIdentity
 from dykemast._internal.serving.choice.choices import count_missing
 from dykemast._internal.serving.parts import Parts
@@ -48,7 +48,9 @@
         """
         if self.event_at is None:
             self.event_at = now
-        is_first = not self.began_well and now - self.event_at > BEGIN_TIME
+        is_first = (
+            not self.began_well and now - self.event_at > SUSPECT_WINDOW_S
+        )
         self.began_well = self.began_well or is_first
         return is_first
 
@@ -63,7 +65,7 @@
         now = read_clock()
         event_at = self.event_at
         return {
-            'same_as': self.identity.read(),
+            'same_as': self.identity.compute_digest(),
             'sent_s': round(now - self.sent_at, 3),
             'events_s': None if event_at is None else round(now - event_at, 3),
         }
--- a/src/dykemast/_internal/serving/relay/server_search.py
+++ b/src/dykemast/_internal/serving/relay/server_search.py
@@ -19,13 +19,13 @@
 
 #: Part of its objective that a request waits at most: served after it, it is
 #: still in time, and refused then, its caller may still be in time elsewhere.
-WAIT_SHARE: Final = 0.25
+MAX_WAIT_SHARE: Final = 0.25
 #: Seconds that each step of urgency looks later: who is more urgent and waits
 #: for the same moment goes first.
-STEP: Final = 0.01
+PRIORITY_STEP_S: Final = 0.01
 
 
-class Patience:
+class ServerWait:
     """How long one request waits where each server is held back for a while.
 
     :param parts: parts of the program.
@@ -36,7 +36,7 @@
         """Wait from now on."""
         self._parts = parts
         self._ticket = ticket
-        self._until = read_clock() + WAIT_SHARE * ticket.route.objective
+        self._until = read_clock() + MAX_WAIT_SHARE * ticket.route.objective
 
     def measure(self, tried: Iterable[str]) -> float:
         """Measure when to look for a server again.
@@ -45,7 +45,7 @@
         :returns: seconds; 0 when waiting does not help.
         """
         wait = candidates.find_wait(self._parts, self._ticket, tried)
-        wait += STEP * (1 + self._ticket.route.priority)
+        wait += PRIORITY_STEP_S * (1 + self._ticket.route.priority)
         return wait if read_clock() + wait <= self._until else 0
 
 
@@ -62,12 +62,12 @@
     :returns: a server that gets it now.
     :raises RefusedError: when there is none.
     """
-    patience = Patience(exchange.parts, exchange.ticket)
+    server_wait = ServerWait(exchange.parts, exchange.ticket)
     while True:
         server = _look(exchange, tried)
         if server:
             return server
-        wait = patience.measure(tried)
+        wait = server_wait.measure(tried)
         if not wait:
             raise _refuse(exchange, tried)
         await asyncio.sleep(wait)
@@ -77,7 +77,7 @@
     board = exchange.parts.board
     gates.check_evacuations(board)
     quarantine.check_quarantine(board, exchange.identity)
-    apart = quarantine.find_suspicion(board, exchange.identity)
+    apart = quarantine.find_suspect_digest(board, exchange.identity)
     return choices.choose_server(exchange.parts, exchange.ticket, tried, apart)
 
 
--- a/src/dykemast/_internal/serving/state/quarantines.py
+++ b/src/dykemast/_internal/serving/state/quarantines.py
@@ -1,9 +1,9 @@
 """Requests in quarantine: reviewed when something is taken note of."""
 
-from dykemast._internal.models.crashes import CrashNews
-from dykemast._internal.operations import crash_news
-from dykemast._internal.operations.crash_evidence import clear
-from dykemast._internal.operations.crash_review import review
+from dykemast._internal.models.crashes import CrashGossip
+from dykemast._internal.operations import crash_gossip
+from dykemast._internal.operations.crash_evidence import clear_suspect
+from dykemast._internal.operations.crash_review import review_suspects
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
@@ -20,7 +20,7 @@
     table = board.crashes
     if not table.crashes and not table.quarantines and not board.quarantined:
         return
-    review(table, read_clock())
+    review_suspects(table, read_clock())
     quarantined = set(table.quarantines)
     for request in quarantined - board.quarantined:
         _log_quarantined(board, request, source)
@@ -36,22 +36,22 @@
     :param request: its digest.
     :param source: who says that it ends no server.
     """
-    if clear(board.crashes, request, read_clock()):
+    if clear_suspect(board.crashes, request, read_clock()):
         _log('request_cleared', same_as=request, source=source)
         review_crashes(board, source)
 
 
-def tell_crashes(board: ServingBoard) -> CrashNews:
+def build_crash_gossip(board: ServingBoard) -> CrashGossip:
     """Tell others what is known of requests that end servers.
 
     :param board: the blackboard.
     :returns: the news.
     """
-    news = crash_news.tell_crashes(board.crashes, read_clock())
-    return news._replace(complete=knows_all(board))
+    news = crash_gossip.build_crash_gossip(board.crashes, read_clock())
+    return news._replace(complete=is_crash_table_current(board))
 
 
-def knows_all(board: ServingBoard) -> bool:
+def is_crash_table_current(board: ServingBoard) -> bool:
     """Tell whether this router has asked for all since it was last away.
 
     What others have told while its process stood still, or before it was
@@ -63,9 +63,9 @@
     return board.crashes.is_complete(board.watch.find_wake(read_clock()))
 
 
-def note_answer(
+def record_crash_answer(
     board: ServingBoard,
-    news: CrashNews,
+    news: CrashGossip,
     asked_at: float,
 ) -> None:
     """Take note of a peer's answer to this router.
@@ -78,24 +78,26 @@
         board.crashes.asked_at = asked_at
 
 
-def take_crashes(board: ServingBoard, news: CrashNews, source: str) -> None:
+def apply_crash_gossip(
+    board: ServingBoard, news: CrashGossip, source: str
+) -> None:
     """Take what a peer tells of requests that end servers.
 
     :param board: the blackboard.
     :param news: the news.
     :param source: the peer.
     """
-    if crash_news.take_crashes(board.crashes, news, read_clock()):
+    if crash_gossip.apply_crash_gossip(board.crashes, news, read_clock()):
         review_crashes(board, source)
 
 
 def _log_quarantined(board: ServingBoard, request: str, source: str) -> None:
     term = board.crashes.quarantines[request]
-    chain = board.crashes.chains.get(request, [])
+    sequence = board.crashes.crash_sequences.get(request, [])
     _log(
         'request_quarantined',
         same_as=request,
-        servers=[run.server for run in chain],
+        servers=[run.server for run in sequence],
         terms=term.terms,
         seconds=round(term.until - read_clock(), 1),
         source=source,
--- a/tests/lib/crash_days.py
+++ b/tests/lib/crash_days.py
@@ -4,9 +4,12 @@
 from typing import NamedTuple
 
 from dykemast._internal.models.crashes import ServerCrash, Suspect
-from dykemast._internal.operations.broken_sends import BEGIN_TIME
-from dykemast._internal.operations.crash_evidence import clear, note_crash
-from dykemast._internal.operations.crash_review import review
+from dykemast._internal.operations.broken_sends import SUSPECT_WINDOW_S
+from dykemast._internal.operations.crash_evidence import (
+    clear_suspect,
+    record_crash,
+)
+from dykemast._internal.operations.crash_review import review_suspects
 from dykemast._internal.operations.crash_table import CrashTable
 
 #: Seconds of a step, of a day, and until a server is back.
@@ -79,7 +82,7 @@
             self._end_runs(now)
             self._end_servers(now)
             if not step % STEPS_A_REVIEW:
-                self.condemned.update(review(self.table, now))
+                self.condemned.update(review_suspects(self.table, now))
         return self
 
     def _ask(self, now: float) -> None:
@@ -100,8 +103,8 @@
 
     def _end_runs(self, now: float) -> None:
         for begun in self._runs:
-            if READ_TIME + BEGIN_TIME < now - begun.sent_at:
-                clear(self.table, begun.request, now)
+            if READ_TIME + SUSPECT_WINDOW_S < now - begun.sent_at:
+                clear_suspect(self.table, begun.request, now)
         over = [one for one in self._runs if one.ends_at <= now]
         for run in over:
             if run.request == GUILTY and run in self._runs:
@@ -109,7 +112,7 @@
                 self._end_server(run.server, now)
             elif run in self._runs:
                 self._runs.remove(run)
-                clear(self.table, run.request, now)
+                clear_suspect(self.table, run.request, now)
 
     def _end_servers(self, now: float) -> None:
         day = self._day
@@ -134,8 +137,8 @@
         suspects = tuple(
             Suspect(one.request, now - one.sent_at)
             for one in ended
-            if now - one.sent_at - READ_TIME <= BEGIN_TIME
+            if now - one.sent_at - READ_TIME <= SUSPECT_WINDOW_S
         )
         name = f'{server}/{self._starts[server]}'
         crash = ServerCrash(name, 0, suspects, SERVICE, up - 1)
-        note_crash(self.table, crash, now)
+        record_crash(self.table, crash, now)
--- a/tests/lib/trial_world.py
+++ b/tests/lib/trial_world.py
@@ -4,10 +4,10 @@
 from contextlib import ExitStack, suppress
 
 from dykemast._internal.models.crashes import ServerCrash, Suspect
-from dykemast._internal.operations.crash_evidence import note_crash
-from dykemast._internal.operations.crash_review import review
+from dykemast._internal.operations.crash_evidence import record_crash
+from dykemast._internal.operations.crash_review import review_suspects
 from dykemast._internal.operations.request_identity import RequestIdentity
-from dykemast._internal.serving.admission.quarantine import pass_gate
+from dykemast._internal.serving.admission.quarantine import admit_request
 from dykemast._internal.serving.requests.refusals import RefusedError
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
@@ -30,10 +30,10 @@
 
 def note_end(board: ServingBoard, age: float, present: Requests) -> None:
     """Note an end of the only server."""
-    names = [one.read() for one in present]
+    names = [one.compute_digest() for one in present]
     suspects = tuple(Suspect(name, age + RUN_TIME) for name in names)
     crash = ServerCrash(f'server-{age}', age, suspects, SERVICE)
-    note_crash(board.crashes, crash, read_clock())
+    record_crash(board.crashes, crash, read_clock())
 
 
 def make_all(
@@ -45,7 +45,7 @@
         board.crashes.asked_at = read_clock()
         note_end(board, ago + PAUSE, ends[0])
         note_end(board, ago, ends[1])
-        review(board.crashes, read_clock())
+        review_suspects(board.crashes, read_clock())
     return boards
 
 
@@ -58,6 +58,6 @@
     begun = []
     for board, identity in itertools.product(boards, requests):
         with suppress(RefusedError):
-            stack.enter_context(pass_gate(board, identity, SERVICE))
-            begun.append(identity.read())
+            stack.enter_context(admit_request(board, identity, SERVICE))
+            begun.append(identity.compute_digest())
     return begun
--- a/tests/unit/test_crash_news.py
+++ b/tests/unit/test_crash_news.py
@@ -12,19 +12,25 @@
     ServerCrash,
     Suspect,
 )
-from dykemast._internal.operations import crash_news
-from dykemast._internal.operations.crash_evidence import clear, note_crash
+from dykemast._internal.operations import crash_gossip
+from dykemast._internal.operations.crash_evidence import (
+    clear_suspect,
+    record_crash,
+)
 from dykemast._internal.operations.crash_review import (
-    QUARANTINE_TIME,
-    SETTLE_TIME,
-    review,
+    QUARANTINE_S,
+    DECISION_DELAY_S,
+    review_suspects,
+)
+from dykemast._internal.operations.crash_persistence import (
+    list_stale_records,
+    list_unsaved_records,
 )
-from dykemast._internal.operations.crash_keeping import (
-    list_superfluous,
-    list_unkept,
+from dykemast._internal.operations.crash_records import apply_record
+from dykemast._internal.operations.crash_table import (
+    CRASH_RETENTION_S,
+    CrashTable,
 )
-from dykemast._internal.operations.crash_records import take_record
-from dykemast._internal.operations.crash_table import KEEP_TIME, CrashTable
 from dykemast._internal.utils.packing import FAST, pack
 
 #: Seconds that news are under way.
@@ -35,14 +41,14 @@
 
 def note_end(table: CrashTable, server: str, now: float) -> None:
     crash = ServerCrash(server, 0, (Suspect('a', 0.2),), 'llm', 8)
-    note_crash(table, crash, now)
-    review(table, now)
+    record_crash(table, crash, now)
+    review_suspects(table, now)
 
 
 def tell(teller: CrashTable, hearer: CrashTable, now: float) -> None:
-    told = crash_news.tell_crashes(teller, now)
-    if crash_news.take_crashes(hearer, told, now + TRANSIT):
-        review(hearer, now + TRANSIT)
+    told = crash_gossip.build_crash_gossip(teller, now)
+    if crash_gossip.apply_crash_gossip(hearer, told, now + TRANSIT):
+        review_suspects(hearer, now + TRANSIT)
 
 
 def spread(tables: list[CrashTable], now: float, rounds: int) -> float:
@@ -65,7 +71,7 @@
         now = spread(tables, 102, 8)
         assert now < 102 + 2
         for table in tables:
-            review(table, now)
+            review_suspects(table, now)
         assert all('a' in table.quarantines for table in tables), count
 
 
@@ -74,7 +80,7 @@
     for table in tables:
         note_end(table, 'server', 100)
     spread(tables, 100, 4)
-    assert {table.count_ends('a') for table in tables} == {1}
+    assert {table.count_crashes('a') for table in tables} == {1}
 
 
 def test_who_is_cleared_at_one_router_is_cleared_at_all() -> None:
@@ -82,11 +88,11 @@
     for place in range(3):
         note_end(tables[0], f'server-{place}', 100 + place)
     now = spread(tables, 103, 4)
-    clear(tables[5], 'a', now)
-    review(tables[5], now)
+    clear_suspect(tables[5], 'a', now)
+    review_suspects(tables[5], now)
     now = spread(tables, now, 6)
     for table in tables:
-        review(table, now)
+        review_suspects(table, now)
     assert not any('a' in table.quarantines for table in tables)
 
 
@@ -100,15 +106,15 @@
     for server in range(500):
         suspects = make_suspects(server)
         crash = ServerCrash(f'i-{server}', 0, suspects, 'llm', 44)
-        note_crash(table, crash, 100)
-    review(table, 100)
-    news = crash_news.tell_crashes(table, 100)
+        record_crash(table, crash, 100)
+    review_suspects(table, 100)
+    news = crash_gossip.build_crash_gossip(table, 100)
     assert len(pack(news, FAST)) < MAX_BYTES
     assert len(table.crashes) <= 256
 
 
 def find_record(table: CrashTable) -> CrashRecord:
-    records = list_unkept(table)
+    records = list_unsaved_records(table)
     assert records, 'the store has to keep it'
     return records[0]
 
@@ -117,12 +123,12 @@
     before = CrashTable()
     for place in range(3):
         note_end(before, f'server-{place}', 100 + place)
-    review(before, 102 + SETTLE_TIME)
+    review_suspects(before, 102 + DECISION_DELAY_S)
     after = CrashTable()
-    take_record(after, find_record(before), 7)
-    review(after, 7)
-    assert after.measure_quarantine('a', 7) == QUARANTINE_TIME
-    assert not list_unkept(after)
+    apply_record(after, find_record(before), 7)
+    review_suspects(after, 7)
+    assert after.get_quarantine_left('a', 7) == QUARANTINE_S
+    assert not list_unsaved_records(after)
 
 
 def test_two_ends_before_a_loss_and_one_after_it_condemn() -> None:
@@ -130,9 +136,9 @@
     for place in range(2):
         note_end(before, f'server-{place}', 100 + place)
     after = CrashTable()
-    take_record(after, find_record(before), 7)
+    apply_record(after, find_record(before), 7)
     note_end(after, 'server-2', 8)
-    assert review(after, 8 + SETTLE_TIME) == ['a']
+    assert review_suspects(after, 8 + DECISION_DELAY_S) == ['a']
 
 
 def test_ends_in_the_store_and_in_news_are_the_same_ends() -> None:
@@ -141,32 +147,32 @@
         note_end(before, f'server-{place}', 100 + place)
     record = find_record(before)
     table = CrashTable()
-    take_record(table, record, 102)
+    apply_record(table, record, 102)
     tell(before, table, 102)
-    take_record(table, record, 103)
-    review(table, 103)
-    assert table.count_ends('a') == 2
+    apply_record(table, record, 103)
+    review_suspects(table, 103)
+    assert table.count_crashes('a') == 2
 
 
 def test_one_end_alone_is_not_worth_a_write() -> None:
     table = CrashTable()
     note_end(table, 'server', 100)
-    assert not list_unkept(table)
+    assert not list_unsaved_records(table)
 
 
 def test_what_counts_no_more_is_removed_from_the_store() -> None:
     table = CrashTable()
-    take_record(table, CrashRecord('a', ('x', 'y'), 0), 100)
-    review(table, 100)
-    assert not list_superfluous(table)
-    review(table, 103 + KEEP_TIME)
-    assert list_superfluous(table) == ['a']
+    apply_record(table, CrashRecord('a', ('x', 'y'), 0), 100)
+    review_suspects(table, 100)
+    assert not list_stale_records(table)
+    review_suspects(table, 103 + CRASH_RETENTION_S)
+    assert list_stale_records(table) == ['a']
 
 
 def end_only_server(table: CrashTable, name: str, now: float) -> None:
     both = (Suspect('slow', 0.2), Suspect('crash', 0.1))
-    note_crash(table, ServerCrash(name, 0, both, 'shop'), now)
-    review(table, now)
+    record_crash(table, ServerCrash(name, 0, both, 'shop'), now)
+    review_suspects(table, now)
 
 
 def test_a_record_does_not_quarantine_who_was_there_each_time() -> None:
@@ -177,11 +183,13 @@
     before = CrashTable()
     end_only_server(before, 'server-0', 100)
     end_only_server(before, 'server-1', 102)
-    slow = [one for one in list_unkept(before) if one.request == 'slow']
+    slow = [
+        one for one in list_unsaved_records(before) if one.request == 'slow'
+    ]
     after = CrashTable()
-    take_record(after, slow[0], 7)
+    apply_record(after, slow[0], 7)
     end_only_server(after, 'server-2', 8)
-    review(after, 8 + SETTLE_TIME)
+    review_suspects(after, 8 + DECISION_DELAY_S)
     assert 'slow' not in after.quarantines
 
 
@@ -191,12 +199,12 @@
     before = CrashTable()
     end_only_server(before, 'server-0', 100)
     end_only_server(before, 'server-1', 102)
-    first = {one.request: one for one in list_unkept(before)}
+    first = {one.request: one for one in list_unsaved_records(before)}
     end_only_server(before, 'server-2', 104)
-    crash = {one.request: one for one in list_unkept(before)}['crash']
+    crash = {one.request: one for one in list_unsaved_records(before)}['crash']
     after = CrashTable()
-    take_record(after, first['slow'], 7)
-    take_record(after, crash, 7)
-    review(after, 7)
-    assert after.count_ends('crash') == 3
-    assert after.count_ends('slow') == 3
+    apply_record(after, first['slow'], 7)
+    apply_record(after, crash, 7)
+    review_suspects(after, 7)
+    assert after.count_crashes('crash') == 3
+    assert after.count_crashes('slow') == 3
--- a/tests/unit/test_crash_objects.py
+++ b/tests/unit/test_crash_objects.py
@@ -10,7 +10,7 @@
 )
 from dykemast._internal.serving.knowledge import crash_records, follower
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.state.quarantines import knows_all
+from dykemast._internal.serving.state.quarantines import is_crash_table_current
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_board
 
@@ -51,12 +51,12 @@
 
 def test_a_router_that_stood_still_asks_anew() -> None:
     board = make_board()
-    assert not knows_all(board)
+    assert not is_crash_table_current(board)
     board.crashes.asked_at = read_clock()
-    assert knows_all(board)
+    assert is_crash_table_current(board)
     # The loop has not run for longer than others need to tell something.
     board.watch.note(read_clock() - 5)
-    assert not knows_all(board)
+    assert not is_crash_table_current(board)
 
 
 def test_a_listing_lifts_nothing_that_is_missing_in_it() -> None:
--- a/tests/unit/test_quarantine_gate.py
+++ b/tests/unit/test_quarantine_gate.py
@@ -9,11 +9,11 @@
 
 from dykemast._internal.models.crashes import ServerCrash, Suspect
 from dykemast._internal.operations.broken_sends import BrokenSend
-from dykemast._internal.operations.crash_evidence import note_crash
+from dykemast._internal.operations.crash_evidence import record_crash
 from dykemast._internal.operations.crash_review import (
-    QUARANTINE_TIME,
-    SETTLE_TIME,
-    review,
+    QUARANTINE_S,
+    DECISION_DELAY_S,
+    review_suspects,
 )
 from dykemast._internal.serving.admission import quarantine, trials
 from dykemast._internal.serving.requests import refusals
@@ -33,14 +33,16 @@
 def note_ends(board: ServingBoard, count: int, ago: float = 2) -> None:
     """Note servers that ended one after another under the request."""
     now = read_clock()
-    suspects = (Suspect(make_identity().read(), ago + 0.1),)
+    suspects = (Suspect(make_identity().compute_digest(), ago + 0.1),)
     for place in range(count):
         age = ago + count - place
         crash = ServerCrash(
-            f'server-{place}', age, (suspects[0]._replace(sent_age=age + 0.1),)
+            f'server-{place}',
+            age,
+            (suspects[0]._replace(sent_age_s=age + 0.1),),
         )
-        note_crash(board.crashes, crash, now)
-    review(board.crashes, now)
+        record_crash(board.crashes, crash, now)
+    review_suspects(board.crashes, now)
 
 
 @contextmanager
@@ -59,7 +61,7 @@
 
 def test_the_same_request_is_known_by_what_a_server_runs() -> None:
     same = make_identity(request_id='other', key='second', patience='1')
-    assert same.read() == make_identity().read()
+    assert same.compute_digest() == make_identity().compute_digest()
     others = (
         make_identity(method='PUT'),
         make_identity(host='other.example'),
@@ -68,9 +70,9 @@
         identify('joinville', b'other'),
         identify('joinvilleb', b'ody'),
     )
-    digests = {one.read() for one in others}
+    digests = {one.compute_digest() for one in others}
     assert len(digests) == len(others)
-    assert same.read() not in digests
+    assert same.compute_digest() not in digests
 
 
 def test_a_router_that_does_not_know_yet_lets_nothing_on() -> None:
@@ -85,7 +87,7 @@
     note_ends(board, 3)
     with expect_refusal(refusals.RefusalCode.quarantined) as told:
         quarantine.check_quarantine(board, make_identity())
-    assert QUARANTINE_TIME - 60 < told[0] <= QUARANTINE_TIME
+    assert QUARANTINE_S - 60 < told[0] <= QUARANTINE_S
     quarantine.check_quarantine(board, make_identity(target='/b'))
 
 
@@ -94,19 +96,19 @@
     note_ends(board, 3, ago=-0.5)
     with expect_refusal(refusals.RefusalCode.quarantined) as told:
         quarantine.check_quarantine(board, make_identity())
-    assert told[0] < SETTLE_TIME
+    assert told[0] < DECISION_DELAY_S
 
 
 def test_after_two_ends_it_runs_alone() -> None:
     board = know_all(make_board())
     note_ends(board, 2)
     identity = make_identity()
-    with quarantine.pass_gate(board, identity, SERVICE):
+    with quarantine.admit_request(board, identity, SERVICE):
         assert trials.is_on_trial(board, identity)
         with expect_refusal(refusals.RefusalCode.quarantined):
-            with quarantine.pass_gate(board, identity, SERVICE):
+            with quarantine.admit_request(board, identity, SERVICE):
                 raise AssertionError('two at once')
-    with quarantine.pass_gate(board, identity, SERVICE):
+    with quarantine.admit_request(board, identity, SERVICE):
         assert board.trials
 
 
@@ -116,14 +118,16 @@
     identity = make_identity()
     assert not trials.is_on_trial(board, identity)
     now = read_clock()
-    board.broken.note(BrokenSend('server', identity.read(), now, None, now))
+    board.broken.note(
+        BrokenSend('server', identity.compute_digest(), now, None, now)
+    )
     assert trials.is_on_trial(board, identity)
 
 
 def test_sends_that_broke_off_at_one_moment_count_as_one_end() -> None:
     board = know_all(make_board())
     identity = make_identity()
-    first = BrokenSend('a', identity.read(), 10, None, 11)
+    first = BrokenSend('a', identity.compute_digest(), 10, None, 11)
     for server in 'aabc':
         board.broken.note(first._replace(server=server))
     assert not trials.is_on_trial(board, identity)
@@ -136,7 +140,7 @@
     let_on = 0
     for board in boards:
         note_ends(board, 3)
-        request = make_identity().read()
+        request = make_identity().compute_digest()
         term = board.crashes.quarantines[request]
         board.crashes.quarantines[request] = term._replace(
             until=read_clock() - 1
--- a/tests/unit/test_serving_rules.py
+++ b/tests/unit/test_serving_rules.py
@@ -17,7 +17,7 @@
 from dykemast._internal.operations.server_trust import ServerTrust
 from dykemast._internal.serving.relay.event_parser import (
     EventParser,
-    read_event_id,
+    parse_event_id,
 )
 
 
@@ -25,11 +25,11 @@
     parser = EventParser()
     assert not parser.feed(b'id: 1\nda')
     assert parser.feed(b'ta: x\n\nid: 2') == [b'id: 1\ndata: x\n\n']
-    assert parser.has_rest()
+    assert parser.has_partial_event()
     assert parser.feed(b'\n\n') == [b'id: 2\n\n']
-    assert not parser.has_rest()
-    assert read_event_id(b'id: 17\ndata: id: 3\n\n') == '17'
-    assert not read_event_id(b'data: x\n\n')
+    assert not parser.has_partial_event()
+    assert parse_event_id(b'id: 17\ndata: id: 3\n\n') == '17'
+    assert not parse_event_id(b'data: x\n\n')
 
 
 def test_all_routers_together_keep_the_allowance_for_retries() -> None:
--- a/tests/unit/test_trial_fuzz.py
+++ b/tests/unit/test_trial_fuzz.py
@@ -14,7 +14,7 @@
 
 def find_common(first: Requests, last: Requests) -> set[str]:
     common = set(first).intersection(last)
-    return {one.read() for one in common}
+    return {one.compute_digest() for one in common}
 
 
 @given(st.tuples(PRESENT, PRESENT), st.permutations(REQUESTS).map(tuple))
--- a/tests/unit/test_trial_turns.py
+++ b/tests/unit/test_trial_turns.py
@@ -9,10 +9,13 @@
 from dykemast._internal.models.backend import BackendServer
 from dykemast._internal.models.crashes import Quarantine
 from dykemast._internal.models.deployment import Endpoint
-from dykemast._internal.operations.crash_evidence import clear
-from dykemast._internal.operations.crash_news import take_quarantine
-from dykemast._internal.operations.crash_review import QUARANTINE_TIME, review
-from dykemast._internal.serving.admission.trials import TURN_TIME
+from dykemast._internal.operations.crash_evidence import clear_suspect
+from dykemast._internal.operations.crash_gossip import apply_quarantine
+from dykemast._internal.operations.crash_review import (
+    QUARANTINE_S,
+    review_suspects,
+)
+from dykemast._internal.serving.admission.trials import EXCLUSIVE_TRIAL_S
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.trial_world import PAIR, ROUTERS, SERVICE, list_begun, make_all
 
@@ -32,14 +35,14 @@
 def test_once_one_has_come_to_its_end_all_may_go_on() -> None:
     boards = make_all()
     for board in boards:
-        clear(board.crashes, PAIR[0].read(), read_clock())
-        review(board.crashes, read_clock())
+        clear_suspect(board.crashes, PAIR[0].compute_digest(), read_clock())
+        review_suspects(board.crashes, read_clock())
     with ExitStack() as stack:
         assert len(list_begun(stack, boards)) == len(PAIR) * ROUTERS
 
 
 def test_each_router_lets_one_of_them_on_when_no_end_follows() -> None:
-    boards = make_all(TURN_TIME + 1)
+    boards = make_all(EXCLUSIVE_TRIAL_S + 1)
     with ExitStack() as stack:
         assert len(list_begun(stack, boards)) == ROUTERS
 
@@ -63,8 +66,8 @@
 
 def test_whoever_is_in_quarantine_explains_the_ends_of_the_other() -> None:
     boards = make_all()
-    guilty = Quarantine(PAIR[0].read(), 0, QUARANTINE_TIME, 1)
+    guilty = Quarantine(PAIR[0].compute_digest(), 0, QUARANTINE_S, 1)
     for board in boards:
-        take_quarantine(board.crashes, guilty, read_clock())
+        apply_quarantine(board.crashes, guilty, read_clock())
     with ExitStack() as stack:
-        assert list_begun(stack, boards) == ROUTERS * [PAIR[1].read()]
+        assert list_begun(stack, boards) == ROUTERS * [PAIR[1].compute_digest()]
