--- a/src/dykemast/_internal/controllers/keepers.py
+++ b/src/dykemast/_internal/controllers/keepers.py
@@ -19,7 +19,7 @@
     LedgerCallbacks,
 )
 from dykemast._internal.operations.peers import list_keepers
-from dykemast._internal.operations.rendezvous import choose_keeper
+from dykemast._internal.operations.rendezvous import choose_owner
 from dykemast._internal.utils.clock import read_clock
 
 _log = logbook.Logger('keeper')
@@ -127,7 +127,7 @@
             for name in list_keepers(self._board, now)
             if self._avoided.get(name, 0) < now
         ]
-        return choose_keeper(ledger, keepers)
+        return choose_owner(ledger, keepers)
 
     def close(self) -> None:
         """Stop writing."""
--- a/src/dykemast/_internal/controllers/request_parts.py
+++ b/src/dykemast/_internal/controllers/request_parts.py
@@ -9,7 +9,7 @@
 from dykemast._internal.controllers.leases import Leases
 from dykemast._internal.controllers.lending import Lending
 from dykemast._internal.controllers.sessions import Sessions
-from dykemast._internal.operations.breaker import Breakers
+from dykemast._internal.operations.circuit_breakers import CircuitBreakers
 from dykemast._internal.operations.lease_registry import Identity, LeaseRegistry
 from dykemast._internal.path.parts import Parts
 from dykemast._internal.path.turns import Turns
@@ -42,7 +42,7 @@
         lending=Lending(board, lease_registry, sessions.peers),
         bills=Bills(board, journal, sessions.peers),
         backends=sessions.backends,
-        breakers=Breakers(),
+        breakers=CircuitBreakers(),
         turns=Turns(),
         gates={},
         chance=chance,
--- a/src/dykemast/_internal/models/backend.py
+++ b/src/dykemast/_internal/models/backend.py
@@ -18,7 +18,7 @@
     :param leaving: whether it will end soon.
     :param born: Unix milliseconds of its start, where it tells them.
     :param sequence: count of its heartbeats since its start.
-    :param cold_left: seconds for which it was still cold when it told.
+    :param cold_left_s: seconds for which it was still cold when it told.
     """
 
     name: str
@@ -30,7 +30,7 @@
     leaving: bool
     born: int | None = None
     sequence: int | None = None
-    cold_left: float = 0
+    cold_left_s: float = 0
 
 
 class Evacuations(NamedTuple):
--- a/src/dykemast/_internal/models/routing_table.py
+++ b/src/dykemast/_internal/models/routing_table.py
@@ -7,7 +7,7 @@
 import hashlib
 from typing import Final, NamedTuple
 
-from dykemast._internal.models.services import Limits, Service
+from dykemast._internal.models.services import RequestLimits, Service
 
 #: Bytes of the hash of a key.
 _HASH_BYTES: Final = 16
@@ -107,7 +107,7 @@
     services: dict[str, Service]
     workspaces: dict[str, Workspace]
     keys: dict[bytes, str]
-    limits: Limits
+    limits: RequestLimits
 
     def find_route(self, host: str, path: str) -> Route | None:
         """Find the route of a request.
--- a/src/dykemast/_internal/models/services.py
+++ b/src/dykemast/_internal/models/services.py
@@ -7,12 +7,12 @@
     """Model engines of a service.
 
     :param slots: requests that one runs at once.
-    :param memory: tokens that its key-value cache holds.
+    :param cache_tokens: tokens that its key-value cache holds.
     :param tokens_per_event: tokens in one event of a stream.
     """
 
     slots: int
-    memory: int
+    cache_tokens: int
     tokens_per_event: int
 
 
@@ -31,7 +31,7 @@
     engine: Engine | None
     cold_rate: float = 0
 
-    def read_tokens_per_event(self) -> int:
+    def get_tokens_per_event(self) -> int:
         """Tell how many tokens an event of a stream holds.
 
         :returns: tokens; 1 where the configuration says nothing.
@@ -39,16 +39,16 @@
         return self.engine.tokens_per_event if self.engine else 1
 
 
-class Limits(NamedTuple):
+class RequestLimits(NamedTuple):
     """What callers may send.
 
     :param header_bytes: of all header fields.
     :param body_bytes: of a body.
-    :param header_timeout: seconds for the header fields to arrive.
-    :param idle_timeout: seconds that a connection may rest.
+    :param header_timeout_s: seconds for the header fields to arrive.
+    :param idle_timeout_s: seconds that a connection may rest.
     """
 
     header_bytes: int
     body_bytes: int
-    header_timeout: float
-    idle_timeout: float
+    header_timeout_s: float
+    idle_timeout_s: float
--- a/src/dykemast/_internal/operations/absent_servers.py
+++ b/src/dykemast/_internal/operations/absent_servers.py
@@ -16,7 +16,7 @@
         """Know of none."""
         self._until: dict[str, float] = {}
 
-    def note(self, server: str, now: float, seconds: float) -> None:
+    def record(self, server: str, now: float, seconds: float) -> None:
         """Take note that a server was absent.
 
         :param server: its id.
@@ -26,16 +26,16 @@
         known = self._until.get(server, 0)
         self._until[server] = max(known, now + seconds)
 
-    def take(self, told: Iterable[AbsentServer], now: float) -> None:
+    def merge(self, told: Iterable[AbsentServer], now: float) -> None:
         """Take what a peer tells.
 
         :param told: servers, and for how long it believes that.
         :param now: seconds.
         """
         for one in told:
-            self.note(one.server, now, one.seconds)
+            self.record(one.server, now, one.seconds)
 
-    def tell(self, now: float) -> tuple[AbsentServer, ...]:
+    def export(self, now: float) -> tuple[AbsentServer, ...]:
         """Tell which servers are believed to be absent.
 
         :param now: seconds.
--- a/src/dykemast/_internal/operations/server_asks.py
+++ b/src/dykemast/_internal/operations/backpressure_state.py
@@ -12,7 +12,7 @@
 KEEP_TIME: Final = 300.0
 
 
-class DepartedServers:
+class DelistedServers:
     """Starts that said that they leave and are not listed any more.
 
     Entries lapse while the store is away, and come back as they were.
@@ -22,7 +22,7 @@
         """Know of none."""
         self._known: dict[str, tuple[BackendServer, float]] = {}
 
-    def note(self, server: BackendServer, now: float) -> None:
+    def record(self, server: BackendServer, now: float) -> None:
         """Take note of a start that was leaving.
 
         :param server: the start.
@@ -39,7 +39,7 @@
         known = self._known.get(server_id)
         return known and known[0]
 
-    def take_back(self, server: BackendServer) -> bool:
+    def relist(self, server: BackendServer) -> bool:
         """Forget about an id that is listed again.
 
         :param server: the start that is listed under it.
@@ -59,20 +59,20 @@
 
 
 @dataclasses.dataclass
-class ServerAsks:
+class BackpressureState:
     """What servers ask for, by the name of their start.
 
     :param last: by the last answer here.
     :param limits: that they named, here or to other routers.
-    :param rests: seconds until which they want nothing from this router.
-    :param departed: those that were leaving and are not listed any more.
+    :param backoff_until: seconds until which they want nothing from this router.
+    :param delisted: those that were leaving and are not listed any more.
     """
 
     last: dict[str, Backpressure] = dataclasses.field(default_factory=dict)
     limits: ServerLimits = dataclasses.field(default_factory=ServerLimits)
-    rests: dict[str, float] = dataclasses.field(default_factory=dict)
-    departed: DepartedServers = dataclasses.field(
-        default_factory=DepartedServers
+    backoff_until: dict[str, float] = dataclasses.field(default_factory=dict)
+    delisted: DelistedServers = dataclasses.field(
+        default_factory=DelistedServers
     )
 
     def is_bound(self, server: str) -> bool:
@@ -81,24 +81,28 @@
         :param server: name of its start.
         :returns: whether it did at some time.
         """
-        return server in self.rests or self.limits.find(server) is not None
+        return (
+            server in self.backoff_until or self.limits.find(server) is not None
+        )
 
-    def note_rest(self, server: str, until: float) -> None:
+    def record_backoff(self, server: str, until: float) -> None:
         """Take note that a server asks for rest; the longest counts.
 
         :param server: name of its start.
         :param until: seconds until which it wants nothing.
         """
-        self.rests[server] = max(until, self.rests.get(server, until))
+        self.backoff_until[server] = max(
+            until, self.backoff_until.get(server, until)
+        )
 
-    def measure_rest(self, server: str, now: float) -> float:
+    def get_backoff(self, server: str, now: float) -> float:
         """Measure for how long a server wants nothing from this router.
 
         :param server: name of its start.
         :param now: seconds.
         :returns: seconds; 0 for no rest.
         """
-        return max(0, self.rests.get(server, now) - now)
+        return max(0, self.backoff_until.get(server, now) - now)
 
     def forget(self, servers: Collection[str], now: float) -> None:
         """Forget what is over, and servers that are gone.
@@ -107,7 +111,7 @@
         :param now: seconds.
         """
         self.limits.keep_only(servers, now)
-        self.departed.forget(now)
-        for server, until in tuple(self.rests.items()):
+        self.delisted.forget(now)
+        for server, until in tuple(self.backoff_until.items()):
             if until < now:
-                self.rests.pop(server)
+                self.backoff_until.pop(server)
--- a/src/dykemast/_internal/operations/breaker.py
+++ b/src/dykemast/_internal/operations/circuit_breakers.py
@@ -12,7 +12,7 @@
 MAX_SAVED: Final = 20.0
 
 
-class Breakers:
+class CircuitBreakers:
     """Failures of backend servers as this router saw them."""
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self._open_until: dict[str, float] = {}
         self._saved = MAX_SAVED
 
-    def note_success(self, name: str) -> None:
+    def record_success(self, name: str) -> None:
         """Forget a server's failures.
 
         :param name: its instance id.
@@ -29,7 +29,7 @@
         self._failures.pop(name, None)
         self._open_until.pop(name, None)
 
-    def note_failure(self, name: str, now: float) -> None:
+    def record_failure(self, name: str, now: float) -> None:
         """Count a failure.
 
         :param name: instance id of the server.
@@ -49,11 +49,11 @@
         """
         return now < self._open_until.get(name, 0)
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Earn a part of a retry."""
         self._saved = min(MAX_SAVED, self._saved + RETRY_SHARE)
 
-    def spend_retry(self) -> bool:
+    def consume_retry(self) -> bool:
         """Use up a retry.
 
         :returns: whether there was one.
--- a/src/dykemast/_internal/operations/engine_pauses.py
+++ b/src/dykemast/_internal/operations/engine_pauses.py
@@ -40,7 +40,7 @@
         self._own: dict[str, _Seen] = {}
         self._told: dict[str, dict[str, _Seen]] = {}
 
-    def note(
+    def record(
         self,
         engine: str,
         pause: float,
@@ -62,7 +62,7 @@
         else:
             self._own[engine] = seen._replace(kept=seen.kept + 1)
 
-    def take(
+    def merge(
         self,
         peer: str,
         told: tuple[LongPauses, ...],
@@ -78,7 +78,7 @@
             one.server: _Seen(one.broken, one.kept, now) for one in told
         }
 
-    def tell(self, now: float) -> tuple[LongPauses, ...]:
+    def export(self, now: float) -> tuple[LongPauses, ...]:
         """Tell what this router has seen, whatever is left of it.
 
         :param now: seconds.
@@ -93,7 +93,7 @@
         self._own = {one.server: self._own[one.server] for one in told}
         return tuple(told)
 
-    def measure_risk(self, engine: str, now: float) -> float:
+    def estimate_risk(self, engine: str, now: float) -> float:
         """Measure how likely a long pause there is too long.
 
         :param engine: its id.
--- a/src/dykemast/_internal/operations/own_loads.py
+++ b/src/dykemast/_internal/operations/own_loads.py
@@ -22,7 +22,7 @@
         self._running[server] += 1
         self._unread[server] += unread
 
-    def end_reading(self, server: str, unread: int) -> None:
+    def end_prefill(self, server: str, unread: int) -> None:
         """Note that a prompt has been read, or given up.
 
         :param server: id of the backend server.
@@ -40,7 +40,7 @@
             self._running.pop(server)
             self._unread.pop(server)
 
-    def measure(self, server: str) -> ServerLoad:
+    def get_load(self, server: str) -> ServerLoad:
         """Tell this router's requests at one server.
 
         :param server: its id.
@@ -49,9 +49,9 @@
         running = self._running.get(server, 0)
         return ServerLoad(server, running, self._unread.get(server, 0))
 
-    def tell_all(self) -> tuple[ServerLoad, ...]:
+    def export_all(self) -> tuple[ServerLoad, ...]:
         """Tell all of this router's requests.
 
         :returns: a line for each backend server.
         """
-        return tuple(self.measure(server) for server in self._running)
+        return tuple(self.get_load(server) for server in self._running)
--- a/src/dykemast/_internal/operations/peer_loads.py
+++ b/src/dykemast/_internal/operations/peer_loads.py
@@ -8,11 +8,11 @@
 #: Routers whose requests are passed on in one round of news at most, and
 #: seconds since they told: with six exchanges in 0.2 s, what one tells
 #: reaches most routers of a large fleet in three rounds.
-MAX_RELAYED: Final = 24
+MAX_RELAYED_ROUTERS: Final = 24
 RELAY_AGE: Final = 1.0
 #: Seconds after which what a peer told of its requests is forgotten: ten
 #: rounds of news, and about as long as most requests take.
-PEER_LOAD_AGE: Final = 2.0
+MAX_PEER_LOAD_AGE_S: Final = 2.0
 #: Seconds for which sums stand unless more is told: the turns of one choice,
 #: which asks for each server, and little beside the age above.
 SUM_TIME: Final = 0.05
@@ -33,7 +33,7 @@
         #: Seconds at which these were added up; None when more was told since.
         self._summed_at: float | None = None
 
-    def take(
+    def merge(
         self,
         peer: str,
         loads: tuple[ServerLoad, ...],
@@ -51,7 +51,7 @@
             self._told[peer] = _Told(now, by_server)
             self._summed_at = None
 
-    def take_relayed(
+    def merge_relayed(
         self,
         relayed: tuple[RelayedLoads, ...],
         own: str,
@@ -65,9 +65,9 @@
         """
         for one in relayed:
             if one.instance != own:
-                self.take(one.instance, one.loads, now - one.age)
+                self.merge(one.instance, one.loads, now - one.age)
 
-    def relay(self, now: float) -> tuple[RelayedLoads, ...]:
+    def export_recent(self, now: float) -> tuple[RelayedLoads, ...]:
         """Tell what peers told last.
 
         :param now: seconds.
@@ -76,14 +76,16 @@
         limit = now - RELAY_AGE
         # Only these are written down: all of them would take most of the time
         # of an exchange in a large fleet.
-        newest = heapq.nlargest(MAX_RELAYED, self._told.items(), key=_read_at)
+        newest = heapq.nlargest(
+            MAX_RELAYED_ROUTERS, self._told.items(), key=_read_at
+        )
         return tuple(
             _describe(peer, told, now)
             for peer, told in newest
             if told.at > limit
         )
 
-    def measure(self, server: str, now: float) -> ServerLoad:
+    def get_load(self, server: str, now: float) -> ServerLoad:
         """Add up the peers' requests at one server.
 
         :param server: its id.
@@ -92,7 +94,7 @@
         """
         summed_at = self._summed_at
         if summed_at is None or not 0 <= now - summed_at < SUM_TIME:
-            self._sums = self._add_up(now - PEER_LOAD_AGE)
+            self._sums = self._add_up(now - MAX_PEER_LOAD_AGE_S)
             self._summed_at = now
         return ServerLoad(server, *self._sums.get(server, (0, 0)))
 
--- a/src/dykemast/_internal/operations/prompt_caches.py
+++ b/src/dykemast/_internal/operations/prompt_caches.py
@@ -6,7 +6,7 @@
 
 from dykemast._internal.models.caller_request import PromptPart
 from dykemast._internal.models.news import SentPrompt
-from dykemast._internal.operations.rendezvous import choose_keeper
+from dykemast._internal.operations.rendezvous import choose_owner
 
 #: Prompts that are remembered to be told, and seconds for which they are: a
 #: few rounds of news.
@@ -37,7 +37,7 @@
         )
         self._used = 0
 
-    def note_prompt(self, prompt: Iterable[PromptPart]) -> None:
+    def record_prompt(self, prompt: Iterable[PromptPart]) -> None:
         """Note that the engine has read a prompt.
 
         :param prompt: its parts in order.
@@ -48,7 +48,7 @@
         while self._used > self._capacity and self._parts:
             self._used -= self._parts.popitem(last=False)[1]
 
-    def count_kept(self, prompt: Iterable[PromptPart]) -> int:
+    def count_cached(self, prompt: Iterable[PromptPart]) -> int:
         """Count the tokens that need not be read again.
 
         A part is of use only if all parts before it are kept as well.
@@ -74,7 +74,7 @@
             maxlen=MAX_TOLD
         )
 
-    def note_sent(
+    def record_sent(
         self,
         server: str,
         prompt: Sequence[PromptPart],
@@ -88,21 +88,21 @@
         :param capacity: tokens that its cache holds.
         :param now: seconds.
         """
-        self._open(server, capacity).note_prompt(prompt)
+        self._open(server, capacity).record_prompt(prompt)
         keys = tuple(part.key for part in prompt)
         tokens = tuple(part.tokens for part in prompt)
         self._told.append(_Told(now, SentPrompt(server, keys, tokens)))
 
-    def take(self, prompts: Iterable[SentPrompt]) -> None:
+    def merge(self, prompts: Iterable[SentPrompt]) -> None:
         """Take what a peer tells.
 
         :param prompts: prompts that it sent.
         """
         for sent in prompts:
             parts = map(PromptPart, sent.parts, sent.tokens)
-            self._open(sent.server, DEFAULT_CAPACITY).note_prompt(parts)
+            self._open(sent.server, DEFAULT_CAPACITY).record_prompt(parts)
 
-    def tell(self, now: float) -> tuple[SentPrompt, ...]:
+    def export(self, now: float) -> tuple[SentPrompt, ...]:
         """Tell the prompts that were sent lately.
 
         :param now: seconds.
@@ -111,7 +111,7 @@
         limit = now - TOLD_AGE
         return tuple(told.prompt for told in self._told if told.at > limit)
 
-    def count_kept(self, server: str, prompt: Sequence[PromptPart]) -> int:
+    def count_cached(self, server: str, prompt: Sequence[PromptPart]) -> int:
         """Count the tokens of a prompt that an engine is thought to keep.
 
         :param server: its id.
@@ -119,7 +119,7 @@
         :returns: tokens.
         """
         cache = self._caches.get(server)
-        return cache.count_kept(prompt) if cache else 0
+        return cache.count_cached(prompt) if cache else 0
 
     def keep_only(self, servers: Collection[str]) -> None:
         """Forget engines that are gone.
@@ -137,7 +137,7 @@
         return cache
 
 
-def find_home(
+def choose_prefix_owner(
     prompt: Sequence[PromptPart],
     servers: Iterable[str],
 ) -> str | None:
@@ -154,4 +154,4 @@
     shared = prompt[:-1]
     if not shared:
         return None
-    return choose_keeper(shared[-1].key, servers)
+    return choose_owner(shared[-1].key, servers)
--- a/src/dykemast/_internal/operations/rendezvous.py
+++ b/src/dykemast/_internal/operations/rendezvous.py
@@ -18,18 +18,18 @@
     return int.from_bytes(digest)
 
 
-def choose_keeper(duty: str, routers: Iterable[str]) -> str | None:
+def choose_owner(duty: str, routers: Iterable[str]) -> str | None:
     """Choose the router that should keep a duty.
 
     :param duty: name of the duty, e.g. of a shard object.
     :param routers: names of the routers that are thought to be up.
     :returns: one of the names, or nothing when there is none.
     """
-    ranked = rank_keepers(duty, routers)
+    ranked = rank_owners(duty, routers)
     return ranked[0] if ranked else None
 
 
-def rank_keepers(duty: str, routers: Iterable[str]) -> list[str]:
+def rank_owners(duty: str, routers: Iterable[str]) -> list[str]:
     """Rank the routers that could keep a duty.
 
     :param duty: name of the duty.
--- a/src/dykemast/_internal/operations/retry_allowance.py
+++ b/src/dykemast/_internal/operations/retry_budget.py
@@ -8,7 +8,7 @@
 SAFETY: Final = 0.6
 
 
-class RetryAllowance:
+class RetryBudget:
     """Second sends to one service by this router.
 
     All routers together may repeat a part of the requests, and some more, in
@@ -28,7 +28,7 @@
         self._requests: collections.deque[float] = collections.deque()
         self._retries: collections.deque[float] = collections.deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request.
 
         :param now: seconds.
@@ -36,7 +36,7 @@
         self._requests.append(now)
         self._forget(now)
 
-    def spend(self, now: float, routers: int) -> bool:
+    def consume(self, now: float, routers: int) -> bool:
         """Use up a second send.
 
         :param now: seconds.
--- a/src/dykemast/_internal/operations/route_times.py
+++ b/src/dykemast/_internal/operations/route_times.py
@@ -7,7 +7,7 @@
 
 #: Seconds of one span. The longest of this span and the one before counts, so
 #: that some requests of every route are in it and an old burst is not.
-SPAN: Final = 10.0
+SPAN_S: Final = 10.0
 
 
 class _Longest(NamedTuple):
@@ -31,7 +31,7 @@
         self._numbers = itertools.count()
 
     @contextlib.contextmanager
-    def run(self, route: str, now: float) -> Iterator[None]:
+    def track(self, route: str, now: float) -> Iterator[None]:
         """Take note of a request while it is in progress.
 
         :param route: its route.
@@ -44,7 +44,7 @@
         finally:
             self._running.pop(number)
 
-    def note(self, route: str, took: float, now: float) -> None:
+    def record(self, route: str, took: float, now: float) -> None:
         """Take note of a request that was served.
 
         :param route: its route.
@@ -54,7 +54,7 @@
         known = self._find(route, now)
         self._longest[route] = known._replace(now=max(known.now, took))
 
-    def measure(self, route: str, now: float) -> float:
+    def estimate_duration(self, route: str, now: float) -> float:
         """Tell how long a request of a route may well take.
 
         :param route: the route.
@@ -70,7 +70,7 @@
         return max(known.now, known.before, *ages)
 
     def _find(self, route: str, now: float) -> _Longest:
-        span = int(now / SPAN)
+        span = int(now / SPAN_S)
         known = self._longest.get(route, _Longest(span, 0, 0))
         if known.span == span:
             return known
--- a/src/dykemast/_internal/operations/routing.py
+++ b/src/dykemast/_internal/operations/routing.py
@@ -7,7 +7,7 @@
 from dykemast._internal.operations.rendezvous import hash_text
 from dykemast._internal.operations.worker_load import (
     Candidate,
-    Ranking,
+    RankingContext,
     estimate_load,
 )
 
@@ -24,7 +24,7 @@
 
 def rank_workers(
     candidates: list[Candidate],
-    ranking: Ranking,
+    ranking: RankingContext,
     chance: random.Random,
 ) -> list[Candidate]:
     """Choose the workers to try, in order.
--- a/src/dykemast/_internal/operations/server_trust.py
+++ b/src/dykemast/_internal/operations/server_health.py
@@ -15,25 +15,25 @@
     at: float
 
 
-class ServerTrust:
+class ServerHealth:
     """Recent share of failures of each backend server."""
 
     def __init__(self) -> None:
         """Trust all."""
         self._records: dict[str, _Record] = {}
 
-    def note_outcome(self, server: str, now: float, *, failed: bool) -> None:
+    def record_outcome(self, server: str, now: float, *, failed: bool) -> None:
         """Take note of an outcome.
 
         :param server: id of the server.
         :param now: seconds.
         :param failed: whether it failed.
         """
-        before = 1 - self.measure(server, now)
+        before = 1 - self.get_score(server, now)
         share = before + OUTCOME_WEIGHT * (float(failed) - before)
         self._records[server] = _Record(share, now)
 
-    def measure(self, server: str, now: float) -> float:
+    def get_score(self, server: str, now: float) -> float:
         """Measure the trust in a server.
 
         :param server: its id.
--- a/src/dykemast/_internal/operations/server_starts.py
+++ b/src/dykemast/_internal/operations/server_incarnations.py
@@ -13,7 +13,7 @@
 from dykemast._internal.models.backend import BackendServer
 
 
-def name_start(
+def name_incarnation(
     server: BackendServer,
     revision: int,
     before: BackendServer | None,
--- a/src/dykemast/_internal/operations/server_limits.py
+++ b/src/dykemast/_internal/operations/server_limits.py
@@ -23,12 +23,12 @@
     """What the newest answer of a server that is known of said.
 
     :param rate: requests a second; ``NO_LIMIT`` for any number.
-    :param told_at: seconds at which the answer came.
+    :param answered_at: seconds at which the answer came.
     :param since: seconds since when this router knows of a limit.
     """
 
     rate: float
-    told_at: float
+    answered_at: float
     since: float
 
 
@@ -39,7 +39,7 @@
         """Know of none."""
         self._known: dict[str, KnownLimit] = {}
 
-    def note(self, server: str, rate: float, now: float) -> None:
+    def record(self, server: str, rate: float, now: float) -> None:
         """Take note of an answer.
 
         :param server: name of the server's start.
@@ -49,7 +49,7 @@
         if rate or server in self._known:
             self._learn(server, rate, now, now)
 
-    def take(self, told: Iterable[ServerLimit], now: float) -> None:
+    def merge(self, told: Iterable[ServerLimit], now: float) -> None:
         """Take what a peer tells.
 
         :param told: limits that it knows.
@@ -57,20 +57,20 @@
         """
         for one in told:
             known = self._known.get(one.server)
-            told_at = now - one.age
-            if known is None or known.told_at < told_at:
-                self._learn(one.server, one.rate, told_at, now)
+            answered_at = now - one.age
+            if known is None or known.answered_at < answered_at:
+                self._learn(one.server, one.rate, answered_at, now)
 
-    def tell(self, now: float) -> tuple[ServerLimit, ...]:
+    def export(self, now: float) -> tuple[ServerLimit, ...]:
         """Tell the limits that are in force, and those that ended lately.
 
         :param now: seconds.
         :returns: the limits.
         """
         return tuple(
-            ServerLimit(server, known.rate, round(now - known.told_at, 3))
+            ServerLimit(server, known.rate, round(now - known.answered_at, 3))
             for server, known in self._known.items()
-            if known.rate or now - known.told_at < END_TIME
+            if known.rate or now - known.answered_at < END_TIME
         )
 
     def find(self, server: str) -> KnownLimit | None:
@@ -89,16 +89,16 @@
         :param now: seconds.
         """
         for server, known in tuple(self._known.items()):
-            if server not in servers and now - known.told_at > KEEP_TIME:
+            if server not in servers and now - known.answered_at > KEEP_TIME:
                 self._known.pop(server)
 
     def _learn(
         self,
         server: str,
         rate: float,
-        told_at: float,
+        answered_at: float,
         now: float,
     ) -> None:
         before = self.find(server)
         since = before.since if before else now
-        self._known[server] = KnownLimit(rate, told_at, since)
+        self._known[server] = KnownLimit(rate, answered_at, since)
--- a/src/dykemast/_internal/operations/server_turns.py
+++ b/src/dykemast/_internal/operations/shared_rate_limiter.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from typing import Final, NamedTuple
 
-from dykemast._internal.operations.rendezvous import rank_keepers
+from dykemast._internal.operations.rendezvous import rank_owners
 
 #: Seconds in which requests to a server are counted, with what a clock that
 #: runs a little fast adds.
@@ -67,7 +67,7 @@
     return Turns(count, WINDOW / (each or rate))
 
 
-class ServerTurns:
+class SharedRateLimiter:
     """What one router sends to servers that bear a rate.
 
     :param own: name of the router.
@@ -81,7 +81,7 @@
         self._shares: dict[str, Share] = {}
         self._sent_at: dict[str, float] = {}
 
-    def measure_wait(
+    def compute_wait(
         self,
         server: str,
         routers: frozenset[str],
@@ -106,7 +106,7 @@
         asks_at = heard_at + share.behind * UNHEARD_TIME
         return math.inf if share.behind > 0 and now < asks_at else wait
 
-    def note_sent(self, server: str, now: float) -> None:
+    def record_sent(self, server: str, now: float) -> None:
         """Take note that a server gets a request.
 
         :param server: name of its start.
@@ -133,7 +133,7 @@
         share = self._shares.get(server)
         if share is None or (share.routers, share.rate) != (routers, rate):
             turns = share_rate(len(routers), rate)
-            place = rank_keepers(server, routers).index(self._own)
+            place = rank_owners(server, routers).index(self._own)
             behind = 1 + place - turns.routers
             share = Share(routers, rate, behind, turns.interval)
             self._shares[server] = share
--- a/src/dykemast/_internal/operations/worker_load.py
+++ b/src/dykemast/_internal/operations/worker_load.py
@@ -25,7 +25,7 @@
     report: LoadReport
 
 
-class Ranking(NamedTuple):
+class RankingContext(NamedTuple):
     """What a ranking depends on.
 
     :param hall: hall of this router.
@@ -40,7 +40,7 @@
     routers: int = 1
 
 
-def estimate_load(candidate: Candidate, ranking: Ranking) -> float:
+def estimate_load(candidate: Candidate, ranking: RankingContext) -> float:
     """Estimate how busy a worker is.
 
     The last report, and what has changed since: the other routers are taken
--- a/src/dykemast/_internal/path/candidates.py
+++ b/src/dykemast/_internal/path/candidates.py
@@ -4,7 +4,7 @@
 from dykemast._internal.models.requests import Order
 from dykemast._internal.operations.peers import list_keepers
 from dykemast._internal.operations.routing import rank_workers
-from dykemast._internal.operations.worker_load import Candidate, Ranking
+from dykemast._internal.operations.worker_load import Candidate, RankingContext
 from dykemast._internal.path.jobs import Job
 from dykemast._internal.path.parts import Parts
 from dykemast._internal.utils.clock import read_clock
@@ -45,7 +45,7 @@
     :returns: the workers.
     """
     now = read_clock()
-    ranking = Ranking(
+    ranking = RankingContext(
         parts.board.settings['hall'],
         order.prefix,
         now,
--- a/src/dykemast/_internal/path/parts.py
+++ b/src/dykemast/_internal/path/parts.py
@@ -10,7 +10,7 @@
 from dykemast._internal.exceptions import DykemastError
 from dykemast._internal.models.requests import Refusal
 from dykemast._internal.network.backends import Backends
-from dykemast._internal.operations.breaker import Breakers
+from dykemast._internal.operations.circuit_breakers import CircuitBreakers
 from dykemast._internal.path.gates import Gate
 from dykemast._internal.path.turns import Turns
 
@@ -34,7 +34,7 @@
     lending: Lending
     bills: Bills
     backends: Backends
-    breakers: Breakers
+    breakers: CircuitBreakers
     turns: Turns
     gates: dict[str, Gate]
     chance: random.Random
--- a/src/dykemast/_internal/path/routes.py
+++ b/src/dykemast/_internal/path/routes.py
@@ -49,7 +49,7 @@
     :raises RefusedError: when no worker gave one.
     """
     await enter_gate(parts, job, order)
-    parts.breakers.note_request()
+    parts.breakers.record_request()
     ranked = rank_candidates(parts, order)
     failure: UpstreamError | None = None
     for candidate in ranked[:MAX_TRIES]:
@@ -81,16 +81,16 @@
     try:
         response = await parts.backends.send(instance, order, job.ask)
     except UpstreamError as error:
-        parts.breakers.note_failure(instance.name, read_clock())
+        parts.breakers.record_failure(instance.name, read_clock())
         _log.warning('route: {} failed: {}', job.ask.request, error)
         raise
-    parts.breakers.note_success(instance.name)
+    parts.breakers.record_success(instance.name)
     note_sent(parts, job, instance.name)
     return Upstream(instance, response)
 
 
 def _may_retry(parts: Parts, job: Job, failure: UpstreamError) -> bool:
-    if read_clock() > job.ask.deadline or not parts.breakers.spend_retry():
+    if read_clock() > job.ask.deadline or not parts.breakers.consume_retry():
         return False
     if not failure.sent:
         return True
--- a/src/dykemast/_internal/platform/answer_headers.py
+++ b/src/dykemast/_internal/platform/answer_headers.py
@@ -5,7 +5,7 @@
 from typing import Any, Final
 
 from dykemast._internal.models.backend import Backpressure
-from dykemast._internal.models.forwarding import AnswerHead
+from dykemast._internal.models.forwarding import ResponseHead
 from dykemast._internal.platform import names
 from dykemast._internal.utils.hop_fields import HOP_FIELDS
 
@@ -23,7 +23,7 @@
 MAX_REST: Final = 600.0
 
 
-def decode_answer(status: int, fields: Any) -> AnswerHead:
+def decode_answer(status: int, fields: Any) -> ResponseHead:
     """Decode the head of a backend server's answer.
 
     :param status: HTTP status.
@@ -35,15 +35,15 @@
         for name, text in fields.items()
         if name.lower() not in HOP_FIELDS
     ]
-    return AnswerHead(
+    return ResponseHead(
         status=status,
         request_id=fields.get(names.ATTEMPT_ID, ''),
         signed=names.SIGNATURE in fields,
-        not_run=names.NOT_RUN in fields or status == _MISDIRECTED,
+        not_executed=names.NOT_RUN in fields or status == _MISDIRECTED,
         misdirected=status == _MISDIRECTED,
         headers=headers,
         delimited='content-length' in fields or 'transfer-encoding' in fields,
-        asks=_decode_asks(status, fields),
+        backpressure=_decode_asks(status, fields),
     )
 
 
--- a/src/dykemast/_internal/platform/configuration.py
+++ b/src/dykemast/_internal/platform/configuration.py
@@ -8,7 +8,7 @@
     Workspace,
     hash_key,
 )
-from dykemast._internal.models.services import Engine, Limits, Service
+from dykemast._internal.models.services import Engine, RequestLimits, Service
 from dykemast._internal.platform.routes import decode_homes, decode_routes
 from dykemast._internal.platform.store_types import StoreObject
 
@@ -92,16 +92,16 @@
         return None
     return Engine(
         slots=int(fields['slots']),
-        memory=int(fields['kvCapacity']),
+        cache_tokens=int(fields['kvCapacity']),
         # The stride is the number of tokens in one event.
         tokens_per_event=int(fields.get('stride', 1)),
     )
 
 
-def _decode_limits(fields: Document) -> Limits:
-    return Limits(
+def _decode_limits(fields: Document) -> RequestLimits:
+    return RequestLimits(
         header_bytes=int(fields['maxHeaderBytes']),
         body_bytes=int(fields['maxBodyBytes']),
-        header_timeout=fields['headerTimeoutMs'] / _MS,
-        idle_timeout=fields['idleTimeoutMs'] / _MS,
+        header_timeout_s=fields['headerTimeoutMs'] / _MS,
+        idle_timeout_s=fields['idleTimeoutMs'] / _MS,
     )
--- a/src/dykemast/_internal/platform/request_headers.py
+++ b/src/dykemast/_internal/platform/request_headers.py
@@ -3,7 +3,7 @@
 from typing import Any, Final
 
 from dykemast._internal.models.caller_request import CallerRequest
-from dykemast._internal.models.forwarding import Forwarding
+from dykemast._internal.models.forwarding import ForwardingFields
 from dykemast._internal.platform import names
 from dykemast._internal.platform.caller_fields import (
     Fields,
@@ -65,14 +65,16 @@
     )
 
 
-def encode_forwarding(request: CallerRequest, added: Forwarding) -> Fields:
+def encode_forwarding(
+    request: CallerRequest, added: ForwardingFields
+) -> Fields:
     """Make the header fields of a send to a backend server.
 
     :param request: the caller's request.
     :param added: what this router says.
     :returns: the fields.
     """
-    left = max(1, int(added.seconds * _MS))
+    left = max(1, int(added.time_left_s * _MS))
     own: Fields = [
         ('host', request.host),
         (names.EXPECTED_SERVER, added.server),
--- a/src/dykemast/_internal/platform/servers.py
+++ b/src/dykemast/_internal/platform/servers.py
@@ -76,7 +76,7 @@
         leaving=fields['state'] != _READY,
         born=fields.get('born'),
         sequence=fields.get('sequence'),
-        cold_left=_decode_cold(stored.spec.get(_COLD_LEFT, 0)),
+        cold_left_s=_decode_cold(stored.spec.get(_COLD_LEFT, 0)),
     )
 
 
--- a/src/dykemast/_internal/serving/admission/in_progress.py
+++ b/src/dykemast/_internal/serving/admission/in_progress.py
@@ -29,7 +29,9 @@
     plan = board.stop_plan
     if plan is None:
         return
-    usual = board.usual_times.measure(ticket.route.name, ticket.started)
+    usual = board.usual_times.estimate_duration(
+        ticket.route.name, ticket.started
+    )
     if plan.may_admit(ticket.started, ticket.deadline, usual):
         return
     details = {
@@ -50,7 +52,7 @@
     task = asyncio.current_task()
     board.tasks.add(task)
     try:
-        with board.usual_times.run(ticket.route.name, ticket.started):
+        with board.usual_times.track(ticket.route.name, ticket.started):
             yield
     finally:
         board.tasks.discard(task)
--- a/src/dykemast/_internal/serving/admission/trials.py
+++ b/src/dykemast/_internal/serving/admission/trials.py
@@ -10,7 +10,7 @@
 
 from dykemast._internal.operations.crash_sequences import find_crash_sequence
 from dykemast._internal.operations.crash_runs import TRIAL_CRASHES, list_rivals
-from dykemast._internal.operations.rendezvous import choose_keeper
+from dykemast._internal.operations.rendezvous import choose_owner
 from dykemast._internal.operations.request_identity import RequestIdentity
 from dykemast._internal.serving.knowledge.backends import list_usable
 from dykemast._internal.serving.state.board import ServingBoard, list_heard
@@ -66,7 +66,7 @@
     """
     heard = [peer.card.instance for peer in list_heard(board)]
     own = board.settings.name
-    return choose_keeper(duty, [own, *heard]) == own
+    return choose_owner(duty, [own, *heard]) == own
 
 
 def _count_servers(board: ServingBoard, service: str) -> int:
--- a/src/dykemast/_internal/serving/choice/candidates.py
+++ b/src/dykemast/_internal/serving/choice/candidates.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from dykemast._internal.models.backend import BackendServer
-from dykemast._internal.operations.rendezvous import choose_keeper
+from dykemast._internal.operations.rendezvous import choose_owner
 from dykemast._internal.serving.knowledge.backends import list_allowed
 from dykemast._internal.serving.knowledge.cold_servers import is_cold
 from dykemast._internal.serving.parts import Parts
@@ -44,7 +44,7 @@
     :param servers: of its service.
     :returns: those that bear it, and where only a rate, whose turn it is.
     """
-    return [one for one in servers if not measure_wait(parts, ticket, one)]
+    return [one for one in servers if not compute_wait(parts, ticket, one)]
 
 
 def choose_apart(
@@ -60,11 +60,11 @@
     :returns: one of them; None when there is none.
     """
     by_name = {one.name: one for one in usable}
-    name = choose_keeper(apart, by_name)
+    name = choose_owner(apart, by_name)
     return by_name[name] if name else None
 
 
-def measure_wait(parts: Parts, ticket: Ticket, server: BackendServer) -> float:
+def compute_wait(parts: Parts, ticket: Ticket, server: BackendServer) -> float:
     """Measure for how long a server gets nothing from this router.
 
     :param parts: parts of the program.
@@ -72,12 +72,12 @@
     :param server: of its service.
     :returns: seconds; infinite while only other routers may send to it.
     """
-    return send_checks.measure_wait(
+    return send_checks.compute_wait(
         parts.board, parts.turns, server, ticket.service.cold_rate
     )
 
 
-def find_wait(
+def compute_min_wait(
     parts: Parts,
     ticket: Ticket,
     tried: Iterable[str] = (),
@@ -90,7 +90,7 @@
     :returns: seconds; infinite when none may, as far as is known.
     """
     waits = (
-        measure_wait(parts, ticket, server)
+        compute_wait(parts, ticket, server)
         for server in list_untried(parts, ticket, tried)
     )
     return min(waits, default=math.inf)
@@ -104,7 +104,7 @@
     :param server: the server.
     """
     now = read_clock()
-    parts.turns.note_sent(server.name, now)
+    parts.turns.record_sent(server.name, now)
     request = ticket.request.request_id
     if ticket.service.cold_rate and is_cold(parts.board, server.name, now):
         parts.meters.cold_sends.inc({'service': server.service})
@@ -114,7 +114,7 @@
             server=server.name,
             cold_s=round(parts.board.cold_until[server.name] - now, 3),
         )
-    limit = parts.board.asks.limits.find(server.name)
+    limit = parts.board.backpressure.limits.find(server.name)
     if limit:
         parts.meters.limited_sends.inc({'service': server.service})
         _log(
@@ -122,7 +122,7 @@
             request=request,
             server=server.name,
             limit=limit.rate,
-            told_s=round(now - limit.told_at, 3),
+            told_s=round(now - limit.answered_at, 3),
         )
 
 
--- a/src/dykemast/_internal/serving/choice/choices.py
+++ b/src/dykemast/_internal/serving/choice/choices.py
@@ -12,14 +12,14 @@
     cost_plain,
     count_harmful,
 )
-from dykemast._internal.operations.prompt_caches import find_home
+from dykemast._internal.operations.prompt_caches import choose_prefix_owner
 from dykemast._internal.serving.choice.candidates import (
     choose_apart,
     list_open,
     list_untried,
     note_chosen,
 )
-from dykemast._internal.serving.state.loads import measure_load
+from dykemast._internal.serving.state.loads import compute_load
 from dykemast._internal.serving.parts import Parts
 from dykemast._internal.serving.requests.ticket import Ticket
 from dykemast._internal.utils.clock import read_clock
@@ -55,7 +55,9 @@
     if apart:
         return choose_apart(usable, apart)
     if ticket.service.engine:
-        home = find_home(ticket.request.prompt, (one.name for one in usable))
+        home = choose_prefix_owner(
+            ticket.request.prompt, (one.name for one in usable)
+        )
         engines = [_weigh_engine(parts, ticket, one, home) for one in usable]
         name = choose_cheapest(engines, cost_engine, random.random)
     else:
@@ -64,7 +66,7 @@
     return parts.board.servers[name] if name else None
 
 
-def count_missing(parts: Parts, ticket: Ticket, server: str) -> int:
+def count_uncached(parts: Parts, ticket: Ticket, server: str) -> int:
     """Count the prompt tokens that an engine would have to read.
 
     :param parts: parts of the program.
@@ -73,7 +75,7 @@
     :returns: tokens.
     """
     request = ticket.request
-    kept = parts.loads.caches.count_kept(server, request.prompt)
+    kept = parts.loads.caches.count_cached(server, request.prompt)
     return max(0, request.prompt_tokens - kept)
 
 
@@ -81,7 +83,7 @@
     # The last part is the request's own, or its session's.
     shared = ticket.request.prompt[:-1]
     total = sum(part.tokens for part in shared)
-    return total - parts.loads.caches.count_kept(server, shared)
+    return total - parts.loads.caches.count_cached(server, shared)
 
 
 def _weigh_engine(
@@ -91,19 +93,19 @@
     home: str | None,
 ) -> EngineOption:
     name = server.name
-    load = measure_load(parts.loads, name, read_clock())
+    load = compute_load(parts.loads, name, read_clock())
     option = EngineOption(
         server=name,
         running=load.running,
         slots=server.slots,
         unread=load.unread,
-        missing=count_missing(parts, ticket, name),
+        missing=count_uncached(parts, ticket, name),
         missing_shared=0
         if name == home
         else _count_missing_shared(parts, ticket, name),
-        tokens_per_event=ticket.service.read_tokens_per_event(),
+        tokens_per_event=ticket.service.get_tokens_per_event(),
         pause_risk=0,
-        trust=parts.trust.measure(name, read_clock()),
+        trust=parts.trust.get_score(name, read_clock()),
     )
     return _add_pause_risk(parts, option)
 
@@ -112,7 +114,7 @@
     unread = option.unread + option.missing
     if not count_harmful(unread, option.tokens_per_event):
         return option
-    risk = parts.loads.pauses.measure_risk(option.server, read_clock())
+    risk = parts.loads.pauses.estimate_risk(option.server, read_clock())
     return option._replace(pause_risk=risk)
 
 
@@ -120,8 +122,8 @@
     now = read_clock()
     return ServiceOption(
         server=server.name,
-        running=measure_load(parts.loads, server.name, now).running,
+        running=compute_load(parts.loads, server.name, now).running,
         slots=server.slots,
         near=server.hall == parts.board.settings.hall,
-        trust=parts.trust.measure(server.name, now),
+        trust=parts.trust.get_score(server.name, now),
     )
--- a/src/dykemast/_internal/serving/choice/outcomes.py
+++ b/src/dykemast/_internal/serving/choice/outcomes.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from dykemast._internal.models.backend import BackendServer
-from dykemast._internal.operations.retry_allowance import RetryAllowance
+from dykemast._internal.operations.retry_budget import RetryBudget
 from dykemast._internal.serving.parts import Parts
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
@@ -21,7 +21,7 @@
 FORGET_PAUSE: Final = 10.0
 
 
-def open_allowance(parts: Parts, service: str) -> RetryAllowance:
+def get_retry_budget(parts: Parts, service: str) -> RetryBudget:
     """Find the allowance for second sends to a service, or open it.
 
     :param parts: parts of the program.
@@ -31,14 +31,14 @@
     allowance = parts.retries.get(service)
     if allowance is None:
         bounds = parts.board.settings.bounds
-        allowance = RetryAllowance(
+        allowance = RetryBudget(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
         )
         parts.retries[service] = allowance
     return allowance
 
 
-def note_absent(parts: Parts, server: BackendServer) -> None:
+def record_absent(parts: Parts, server: BackendServer) -> None:
     """Take note that a backend server is no longer at its address.
 
     :param parts: parts of the program.
@@ -47,17 +47,19 @@
     now = read_clock()
     if not parts.loads.absent.is_absent(server.name, now):
         _log('server_absent', server=server.name, seconds=ABSENT_TIME)
-    parts.loads.absent.note(server.name, now, ABSENT_TIME)
+    parts.loads.absent.record(server.name, now, ABSENT_TIME)
 
 
-def note_outcome(parts: Parts, server: BackendServer, *, failed: bool) -> None:
+def record_outcome(
+    parts: Parts, server: BackendServer, *, failed: bool
+) -> None:
     """Take note of how a backend server did.
 
     :param parts: parts of the program.
     :param server: the server.
     :param failed: whether it failed.
     """
-    parts.trust.note_outcome(server.name, read_clock(), failed=failed)
+    parts.trust.record_outcome(server.name, read_clock(), failed=failed)
     outcome = 'failed' if failed else 'done'
     parts.meters.sends.inc({'service': server.service, 'outcome': outcome})
 
@@ -72,4 +74,4 @@
         parts.loads.caches.keep_only(parts.board.servers)
         parts.trust.keep_only(parts.board.servers)
         parts.turns.keep_only(parts.board.servers)
-        parts.board.asks.forget(parts.board.servers, read_clock())
+        parts.board.backpressure.forget(parts.board.servers, read_clock())
--- a/src/dykemast/_internal/serving/knowledge/backends.py
+++ b/src/dykemast/_internal/serving/knowledge/backends.py
@@ -116,7 +116,7 @@
         )
     if server.leaving:
         note_leaving(board, [server.name], 'store')
-    if board.asks.departed.take_back(server):
+    if board.backpressure.delisted.relist(server):
         note_leaving(board, [server.name], 'earlier word')
 
 
@@ -143,11 +143,11 @@
     """
     board.lapsed.pop(name, None)
     board.cold_until.pop(name, None)
-    board.asks.last.pop(name, None)
+    board.backpressure.last.pop(name, None)
     gone = board.servers.pop(name, None)
     if gone:
         board.server_starts.pop(gone.server_id)
         if name in board.leaving:
             board.leaving.discard(name)
-            board.asks.departed.note(gone, read_clock())
+            board.backpressure.delisted.record(gone, read_clock())
         _log('server_gone', server=name)
--- a/src/dykemast/_internal/serving/knowledge/backpressure.py
+++ b/src/dykemast/_internal/serving/knowledge/backpressure.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from dykemast._internal.models.backend import BackendServer, Backpressure
-from dykemast._internal.models.forwarding import AnswerHead
+from dykemast._internal.models.forwarding import ResponseHead
 from dykemast._internal.operations.server_limits import NO_LIMIT
 from dykemast._internal.serving.knowledge.backends import note_leaving
 from dykemast._internal.serving.state.board import ServingBoard
@@ -21,7 +21,7 @@
 def note_asks(
     board: ServingBoard,
     server: BackendServer,
-    head: AnswerHead,
+    head: ResponseHead,
 ) -> None:
     """Take note of what an answer of a server asks for.
 
@@ -32,16 +32,16 @@
     if head.misdirected:
         # Another server has its address now.
         return
-    if head.asks.leaving:
+    if head.backpressure.leaving:
         _note_leaving(board, server)
-    if head.asks.rest:
-        until = read_clock() + head.asks.rest
-        board.asks.note_rest(server.name, until)
-    if head.asks.limit or head.signed:
+    if head.backpressure.rest:
+        until = read_clock() + head.backpressure.rest
+        board.backpressure.record_backoff(server.name, until)
+    if head.backpressure.limit or head.signed:
         # Only an answer of a run ends a limit: one that turns a request away
         # may come from a part of the server that knows of none.
-        rate = head.asks.limit or NO_LIMIT
-        board.asks.limits.note(server.name, rate, read_clock())
+        rate = head.backpressure.limit or NO_LIMIT
+        board.backpressure.limits.record(server.name, rate, read_clock())
     _log_change(board, server, head)
 
 
@@ -58,8 +58,8 @@
     now = read_clock()
     held: dict[str, str] = {}
     for server in servers:
-        rest = board.asks.measure_rest(server.name, now)
-        limit = board.asks.limits.find(server.name)
+        rest = board.backpressure.get_backoff(server.name, now)
+        limit = board.backpressure.limits.find(server.name)
         if rest:
             held[server.name] = f'rests {rest:.1f} s'
         elif limit:
@@ -70,18 +70,21 @@
 def _log_change(
     board: ServingBoard,
     server: BackendServer,
-    head: AnswerHead,
+    head: ResponseHead,
 ) -> None:
     if server.name not in board.servers:
         return
-    if board.asks.last.get(server.name, Backpressure()) != head.asks:
-        board.asks.last[server.name] = head.asks
+    if (
+        board.backpressure.last.get(server.name, Backpressure())
+        != head.backpressure
+    ):
+        board.backpressure.last[server.name] = head.backpressure
         _log(
             'server_asks',
             server=server.name,
             request=head.request_id,
             status=head.status,
-            **head.asks._asdict(),
+            **head.backpressure._asdict(),
         )
 
 
@@ -90,4 +93,4 @@
         note_leaving(board, [server.name], 'answer')
     else:
         # Its entry may come back.
-        board.asks.departed.note(server, read_clock())
+        board.backpressure.delisted.record(server, read_clock())
--- a/src/dykemast/_internal/serving/knowledge/cold_servers.py
+++ b/src/dykemast/_internal/serving/knowledge/cold_servers.py
@@ -18,8 +18,8 @@
     :param server: the server, as its entry describes it.
     """
     board.cold_until.pop(server.name, None)
-    if server.cold_left:
-        board.cold_until[server.name] = read_clock() + server.cold_left
+    if server.cold_left_s:
+        board.cold_until[server.name] = read_clock() + server.cold_left_s
 
 
 def note_back(board: ServingBoard, name: str) -> None:
--- a/src/dykemast/_internal/serving/knowledge/crash_writes.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_writes.py
@@ -9,7 +9,7 @@
     list_stale_records,
     list_unsaved_records,
 )
-from dykemast._internal.operations.rendezvous import rank_keepers
+from dykemast._internal.operations.rendezvous import rank_owners
 from dykemast._internal.platform.objects import ObjectStore
 from dykemast._internal.serving.knowledge.crash_objects import (
     RECORD_KIND,
@@ -54,7 +54,7 @@
 
 def _has_turn(board: ServingBoard, record: CrashRecord, age: float) -> bool:
     heard = [peer.card.instance for peer in list_heard(board)]
-    ranked = rank_keepers(record.request, [board.settings.name, *heard])
+    ranked = rank_owners(record.request, [board.settings.name, *heard])
     return ranked.index(board.settings.name) <= age / WRITER_TAKEOVER_S
 
 
--- a/src/dykemast/_internal/serving/knowledge/followers.py
+++ b/src/dykemast/_internal/serving/knowledge/followers.py
@@ -11,7 +11,7 @@
 
 from dykemast._internal.exceptions import HistoryLostError, PlatformError
 from dykemast._internal.platform.objects import ObjectStore
-from dykemast._internal.operations.rendezvous import rank_keepers
+from dykemast._internal.operations.rendezvous import rank_owners
 from dykemast._internal.serving.state.board import ServingBoard, list_heard
 from dykemast._internal.serving.knowledge.follower import (
     Follower,
@@ -94,7 +94,7 @@
     """
     heard = [peer.card.instance for peer in list_heard(board)]
     names = [board.settings.name, *heard]
-    watchers = rank_keepers(kind, names)[:MAX_WATCHERS]
+    watchers = rank_owners(kind, names)[:MAX_WATCHERS]
     return board.settings.name in watchers
 
 
--- a/src/dykemast/_internal/serving/knowledge/server_entries.py
+++ b/src/dykemast/_internal/serving/knowledge/server_entries.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from dykemast._internal.models.news import ListState
-from dykemast._internal.operations.server_starts import name_start
+from dykemast._internal.operations.server_incarnations import name_incarnation
 from dykemast._internal.platform.servers import SERVER_KIND, decode_server
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.knowledge.backends import (
@@ -36,8 +36,8 @@
         server = decode_server(stored)
         before = board.server_starts.get(
             stored.name
-        ) or board.asks.departed.find(stored.name)
-        name = name_start(server, stored.revision, before)
+        ) or board.backpressure.delisted.find(stored.name)
+        name = name_incarnation(server, stored.revision, before)
         named = server._replace(name=name)
         is_back = name in board.lapsed
         take_server(board, named)
--- a/src/dykemast/_internal/serving/members/peer_news.py
+++ b/src/dykemast/_internal/serving/members/peer_news.py
@@ -39,18 +39,18 @@
         news = News(
             card=self._board.make_card(),
             leaving=tuple(self._board.leaving),
-            loads=self._loads.own.tell_all(),
+            loads=self._loads.own.export_all(),
             relayed=self._relay(),
-            prompts=self._loads.caches.tell(read_clock()),
+            prompts=self._loads.caches.export(read_clock()),
             ages=ages.tell_ages(self._board),
             servers=self._board.server_state,
             strain=strain.measure_strain(self._board),
-            absent=self._loads.absent.tell(read_clock()),
-            pauses=self._loads.pauses.tell(read_clock()),
+            absent=self._loads.absent.export(read_clock()),
+            pauses=self._loads.pauses.export(read_clock()),
             crashes=build_crash_gossip(self._board),
             evacuations=self._board.evacuations,
             budgets_away=self._board.budgets_away,
-            limits=self._board.asks.limits.tell(read_clock()),
+            limits=self._board.backpressure.limits.export(read_clock()),
         )
         # Packed to half, for little processor time: news are most of what
         # passes between halls in calm.
@@ -97,15 +97,15 @@
     def _take_servers(self, news: News, now: float) -> None:
         source = news.card.instance
         backends.note_leaving(self._board, news.leaving, source)
-        self._board.asks.limits.take(news.limits, now)
-        self._loads.caches.take(news.prompts)
-        self._loads.absent.take(news.absent, now)
-        self._loads.pauses.take(source, news.pauses, now)
+        self._board.backpressure.limits.merge(news.limits, now)
+        self._loads.caches.merge(news.prompts)
+        self._loads.absent.merge(news.absent, now)
+        self._loads.pauses.merge(source, news.pauses, now)
 
     def _take_loads(self, news: News, now: float) -> None:
         loads = self._loads.peers
-        loads.take(news.card.instance, news.loads, now)
-        loads.take_relayed(news.relayed, self._board.settings.name, now)
+        loads.merge(news.card.instance, news.loads, now)
+        loads.merge_relayed(news.relayed, self._board.settings.name, now)
         for one in news.relayed:
             peer = self._board.peers.get(one.instance)
             if peer:
@@ -115,4 +115,4 @@
         if not is_large(self._board):
             # Every router hears of all others in each round.
             return ()
-        return self._loads.peers.relay(read_clock())
+        return self._loads.peers.export_recent(read_clock())
--- a/src/dykemast/_internal/serving/parts.py
+++ b/src/dykemast/_internal/serving/parts.py
@@ -3,9 +3,9 @@
 from functools import partial
 from typing import NamedTuple
 
-from dykemast._internal.operations.server_turns import ServerTurns
-from dykemast._internal.operations.retry_allowance import RetryAllowance
-from dykemast._internal.operations.server_trust import ServerTrust
+from dykemast._internal.operations.shared_rate_limiter import SharedRateLimiter
+from dykemast._internal.operations.retry_budget import RetryBudget
+from dykemast._internal.operations.server_health import ServerHealth
 from dykemast._internal.serving.knowledge.backpressure import note_asks
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.tokens.budgets import Budgets
@@ -31,10 +31,10 @@
     board: ServingBoard
     budgets: Budgets
     loads: Loads
-    trust: ServerTrust
-    retries: dict[str, RetryAllowance]
+    trust: ServerHealth
+    retries: dict[str, RetryBudget]
     upstreams: upstream.Upstreams
-    turns: ServerTurns
+    turns: SharedRateLimiter
     meters: Meters
 
 
@@ -50,11 +50,11 @@
         board=board,
         budgets=budgets,
         loads=loads,
-        trust=ServerTrust(),
+        trust=ServerHealth(),
         retries={},
         upstreams=upstream.Upstreams(
             partial(send_checks.check_send, board), partial(note_asks, board)
         ),
-        turns=ServerTurns(board.settings.name, read_clock()),
+        turns=SharedRateLimiter(board.settings.name, read_clock()),
         meters=make_meters(),
     )
--- a/src/dykemast/_internal/serving/process/description.py
+++ b/src/dykemast/_internal/serving/process/description.py
@@ -27,10 +27,12 @@
             is_cold(board, name, now) for name in board.cold_until
         ),
         'servers_limited': sum(
-            board.asks.limits.find(name) is not None for name in board.servers
+            board.backpressure.limits.find(name) is not None
+            for name in board.servers
         ),
         'servers_resting': sum(
-            board.asks.measure_rest(name, now) > 0 for name in board.servers
+            board.backpressure.get_backoff(name, now) > 0
+            for name in board.servers
         ),
         'servers_leaving': len(board.leaving),
         'loop_failures': board.loops.failures,
--- a/src/dykemast/_internal/serving/process/records.py
+++ b/src/dykemast/_internal/serving/process/records.py
@@ -111,7 +111,7 @@
     now = read_clock()
     took = now - ticket.started
     if outcome == SERVED:
-        parts.board.usual_times.note(ticket.route.name, took, now)
+        parts.board.usual_times.record(ticket.route.name, took, now)
     kind = ticket.route.kind.value
     parts.meters.requests.inc({'kind': kind, 'outcome': outcome})
     parts.meters.whole.observe({'kind': kind}, took)
--- a/src/dykemast/_internal/serving/relay/attempts.py
+++ b/src/dykemast/_internal/serving/relay/attempts.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 
 from dykemast._internal.exceptions import UpstreamError
-from dykemast._internal.serving.choice.outcomes import open_allowance
+from dykemast._internal.serving.choice.outcomes import get_retry_budget
 from dykemast._internal.serving.relay.exchange import Exchange
 from dykemast._internal.serving.relay.retries import (
     has_time,
@@ -54,8 +54,8 @@
         :param deliver: sends it to one server and passes the answer on.
         :raises RefusedError: when it was not, and nothing more can be done.
         """
-        allowance = open_allowance(self._parts, self._ticket.service.name)
-        allowance.note_request(read_clock())
+        allowance = get_retry_budget(self._parts, self._ticket.service.name)
+        allowance.record_request(read_clock())
         failure = await self._try(deliver, None)
         while failure:
             if not may_retry(self._exchange, len(self.tried), failure):
--- a/src/dykemast/_internal/serving/relay/crash_probes.py
+++ b/src/dykemast/_internal/serving/relay/crash_probes.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from dykemast._internal.models.backend import BackendServer
-from dykemast._internal.serving.choice.outcomes import note_absent
+from dykemast._internal.serving.choice.outcomes import record_absent
 from dykemast._internal.serving.knowledge.backends import list_usable
 from dykemast._internal.serving.parts import Parts
 from dykemast._internal.serving.relay.crash_recording import record_server_crash
@@ -65,7 +65,7 @@
     try:
         _, writer = await asyncio.open_connection(host, port)
     except ConnectionRefusedError:
-        note_absent(parts, server)
+        record_absent(parts, server)
     except OSError as error:
         _log('server_not_asked', server=server.name, reason=str(error))
     else:
--- a/src/dykemast/_internal/serving/relay/event_relay.py
+++ b/src/dykemast/_internal/serving/relay/event_relay.py
@@ -1,7 +1,7 @@
 """Pass events on to a caller, whole ones only."""
 
 from dykemast._internal.exceptions import UpstreamError
-from dykemast._internal.models.forwarding import AnswerHead
+from dykemast._internal.models.forwarding import ResponseHead
 from dykemast._internal.serving.relay.event_parser import (
     EventParser,
     parse_event_id,
@@ -20,14 +20,14 @@
         """Pass nothing on yet."""
         self._responder = responder
         self._parser = EventParser()
-        self._head: AnswerHead | None = None
+        self._head: ResponseHead | None = None
         self.events = 0
         #: Id of the last event that was passed on; empty for none.
         self.last_event = ''
         #: Seconds at which the first event was passed on.
         self.first_at: float | None = None
 
-    def begin(self, head: AnswerHead) -> None:
+    def begin(self, head: ResponseHead) -> None:
         """Begin to read the answer of an engine, the first or another.
 
         :param head: its head.
@@ -63,7 +63,7 @@
         await self._send_head()
         await self._responder.write(b'', more=False)
 
-    async def pass_failure(self, head: AnswerHead, body: bytes) -> None:
+    async def pass_failure(self, head: ResponseHead, body: bytes) -> None:
         """Pass on the failure of an engine, if nothing was passed on yet.
 
         :param head: head of its answer.
--- a/src/dykemast/_internal/serving/relay/event_streams.py
+++ b/src/dykemast/_internal/serving/relay/event_streams.py
@@ -4,15 +4,19 @@
 
 from dykemast._internal.exceptions import UpstreamError
 from dykemast._internal.serving.relay.attempts import Attempts
-from dykemast._internal.serving.choice.choices import count_missing
+from dykemast._internal.serving.choice.choices import count_uncached
 from dykemast._internal.serving.relay.event_relay import EventRelay
 from dykemast._internal.serving.relay.exchange import Exchange
 from dykemast._internal.serving.relay.payments import Payment
 from dykemast._internal.serving.relay.pauses import PauseMeter
 from dykemast._internal.serving.relay.prefill import Prefill, record_prompt
 from dykemast._internal.serving.relay.sends import Send
-from dykemast._internal.serving.sending.sending import make_sending
-from dykemast._internal.serving.sending.upstream_answer import Answer
+from dykemast._internal.serving.sending.upstream_request import (
+    make_upstream_request,
+)
+from dykemast._internal.serving.sending.upstream_response import (
+    UpstreamResponse,
+)
 
 _FIRST_FAILURE: Final = 300
 
@@ -42,7 +46,7 @@
 
     async def _deliver(self, send: Send) -> None:
         server = send.server
-        unread = count_missing(self._parts, self._ticket, server.name)
+        unread = count_uncached(self._parts, self._ticket, server.name)
         prefill = Prefill(self._parts, server.name, unread)
         try:
             await self._send(send, prefill)
@@ -60,7 +64,7 @@
             self._parts.loads.own.end(server.name)
 
     async def _send(self, send: Send, prefill: Prefill) -> None:
-        sending = make_sending(self._ticket, self._body, send.server)
+        sending = make_upstream_request(self._ticket, self._body, send.server)
         sending = sending.resume_after(self.relay.last_event)
         async with self._parts.upstreams.send(sending) as answer:
             # From here on it ran, also when the answer is a failure.
@@ -80,6 +84,6 @@
             await self.relay.finish()
             meter.log_end(self.relay.events)
 
-    async def _pass_failure(self, answer: Answer) -> None:
+    async def _pass_failure(self, answer: UpstreamResponse) -> None:
         whole = await answer.read_whole(self._ticket.deadline)
         await self.relay.pass_failure(answer.head, whole)
--- a/src/dykemast/_internal/serving/relay/pauses.py
+++ b/src/dykemast/_internal/serving/relay/pauses.py
@@ -71,4 +71,4 @@
     def _note_pause(self, pause: float, now: float) -> None:
         self._longest = max(self._longest, pause)
         objective = self._ticket.route.pause_objective
-        self._pauses.note(self._engine, pause, objective, now)
+        self._pauses.record(self._engine, pause, objective, now)
--- a/src/dykemast/_internal/serving/relay/payments.py
+++ b/src/dykemast/_internal/serving/relay/payments.py
@@ -29,7 +29,7 @@
         self.usage = StreamUsage(
             request.prompt_tokens,
             request.output_tokens,
-            ticket.service.read_tokens_per_event(),
+            ticket.service.get_tokens_per_event(),
         )
 
     async def hold(self) -> None:
--- a/src/dykemast/_internal/serving/relay/plain_calls.py
+++ b/src/dykemast/_internal/serving/relay/plain_calls.py
@@ -5,18 +5,20 @@
 
 from dykemast._internal.exceptions import UpstreamError
 from dykemast._internal.models.backend import BackendServer
-from dykemast._internal.models.forwarding import AnswerHead
+from dykemast._internal.models.forwarding import ResponseHead
 from dykemast._internal.serving.relay.attempts import Attempts
 from dykemast._internal.serving.relay.exchange import Exchange
 from dykemast._internal.serving.relay.sends import Send
-from dykemast._internal.serving.sending.sending import make_sending
+from dykemast._internal.serving.sending.upstream_request import (
+    make_upstream_request,
+)
 
 #: Statuses from which a repeatable request may do better elsewhere.
 FIRST_SERVER_ERROR: Final = 500
 
 
 class _Whole(NamedTuple):
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
@@ -43,7 +45,7 @@
 
 
 async def _fetch(exchange: Exchange, server: BackendServer) -> _Whole:
-    sending = make_sending(exchange.ticket, exchange.body, server)
+    sending = make_upstream_request(exchange.ticket, exchange.body, server)
     loads = exchange.parts.loads.own
     with contextlib.ExitStack() as ending:
         loads.begin(server.name, 0)
--- a/src/dykemast/_internal/serving/relay/prefill.py
+++ b/src/dykemast/_internal/serving/relay/prefill.py
@@ -8,10 +8,10 @@
 
 def record_prompt(parts: Parts, ticket: Ticket, server: BackendServer) -> None:
     engine = ticket.service.engine
-    parts.loads.caches.note_sent(
+    parts.loads.caches.record_sent(
         server.name,
         ticket.request.prompt,
-        engine.memory if engine else 0,
+        engine.cache_tokens if engine else 0,
         read_clock(),
     )
 
@@ -27,5 +27,5 @@
 
     def end(self) -> None:
         """Note the end; later calls do nothing."""
-        self._loads.end_reading(self._server, self._unread)
+        self._loads.end_prefill(self._server, self._unread)
         self._unread = 0
--- a/src/dykemast/_internal/serving/relay/retries.py
+++ b/src/dykemast/_internal/serving/relay/retries.py
@@ -7,8 +7,8 @@
 from dykemast._internal.exceptions import UpstreamError
 from dykemast._internal.serving.admission.gates import SERVER_RETRY
 from dykemast._internal.serving.admission.trials import is_on_trial
-from dykemast._internal.serving.choice.candidates import find_wait
-from dykemast._internal.serving.choice.outcomes import open_allowance
+from dykemast._internal.serving.choice.candidates import compute_min_wait
+from dykemast._internal.serving.choice.outcomes import get_retry_budget
 from dykemast._internal.serving.relay.exchange import Exchange
 from dykemast._internal.serving.requests.ticket import Ticket
 from dykemast._internal.utils.clock import read_clock
@@ -55,7 +55,7 @@
     :param exchange: the request.
     :returns: seconds until a server may get it, where all are held back.
     """
-    wait = find_wait(exchange.parts, exchange.ticket)
+    wait = compute_min_wait(exchange.parts, exchange.ticket)
     if not wait or math.isinf(wait):
         return SERVER_RETRY
     # All who wait for that moment would else come back together.
@@ -83,6 +83,6 @@
 
 def _spend_allowance(exchange: Exchange) -> bool:
     parts = exchange.parts
-    allowance = open_allowance(parts, exchange.ticket.service.name)
+    allowance = get_retry_budget(parts, exchange.ticket.service.name)
     routers = 1 + len(parts.board.peers)
-    return allowance.spend(read_clock(), routers)
+    return allowance.consume(read_clock(), routers)
--- a/src/dykemast/_internal/serving/relay/send_outcomes.py
+++ b/src/dykemast/_internal/serving/relay/send_outcomes.py
@@ -2,8 +2,8 @@
 
 from dykemast._internal.exceptions import HeldBackError, UpstreamError
 from dykemast._internal.serving.choice.outcomes import (
-    note_absent,
-    note_outcome,
+    record_absent,
+    record_outcome,
 )
 from dykemast._internal.serving.relay.crash_recording import record_healthy_run
 from dykemast._internal.serving.relay.crash_watch import record_broken_send
@@ -20,7 +20,7 @@
     :param exchange: the request.
     :param send: the send.
     """
-    note_outcome(exchange.parts, send.server, failed=False)
+    record_outcome(exchange.parts, send.server, failed=False)
     record_healthy_run(exchange.parts.board, send)
 
 
@@ -37,10 +37,10 @@
     """
     if not isinstance(error, HeldBackError):
         # Not a failure of the server.
-        note_outcome(exchange.parts, send.server, failed=True)
+        record_outcome(exchange.parts, send.server, failed=True)
     record_broken_send(exchange.parts.board, send, error)
     if error.absent:
-        note_absent(exchange.parts, send.server)
+        record_absent(exchange.parts, send.server)
     _log(
         'send_failed',
         request=exchange.ticket.request.request_id,
--- a/src/dykemast/_internal/serving/relay/sends.py
+++ b/src/dykemast/_internal/serving/relay/sends.py
@@ -6,10 +6,10 @@
 from dykemast._internal.models.backend import BackendServer
 from dykemast._internal.operations.broken_sends import SUSPECT_WINDOW_S
 from dykemast._internal.operations.request_identity import RequestIdentity
-from dykemast._internal.serving.choice.choices import count_missing
+from dykemast._internal.serving.choice.choices import count_uncached
 from dykemast._internal.serving.parts import Parts
 from dykemast._internal.serving.requests.ticket import Ticket
-from dykemast._internal.serving.state.loads import measure_load
+from dykemast._internal.serving.state.loads import compute_load
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
 
@@ -80,8 +80,8 @@
     :param nth: which of the request's sends it is.
     """
     server = send.server.name
-    load = measure_load(parts.loads, server, send.sent_at)
-    pause_risk = parts.loads.pauses.measure_risk(server, send.sent_at)
+    load = compute_load(parts.loads, server, send.sent_at)
+    pause_risk = parts.loads.pauses.estimate_risk(server, send.sent_at)
     _log(
         'send',
         request=ticket.request.request_id,
@@ -90,7 +90,7 @@
         nth=nth,
         running=load.running,
         unread=load.unread,
-        missing=count_missing(parts, ticket, server),
+        missing=count_uncached(parts, ticket, server),
         pause_risk=round(pause_risk, 2),
-        trust=round(parts.trust.measure(server, send.sent_at), 2),
+        trust=round(parts.trust.get_score(server, send.sent_at), 2),
     )
--- a/src/dykemast/_internal/serving/relay/server_search.py
+++ b/src/dykemast/_internal/serving/relay/server_search.py
@@ -44,7 +44,7 @@
         :param tried: servers that had it before.
         :returns: seconds; 0 when waiting does not help.
         """
-        wait = candidates.find_wait(self._parts, self._ticket, tried)
+        wait = candidates.compute_min_wait(self._parts, self._ticket, tried)
         wait += PRIORITY_STEP_S * (1 + self._ticket.route.priority)
         return wait if read_clock() + wait <= self._until else 0
 
--- a/src/dykemast/_internal/serving/sending/send_checks.py
+++ b/src/dykemast/_internal/serving/sending/send_checks.py
@@ -5,16 +5,16 @@
 from dykemast._internal.exceptions import HeldBackError
 from dykemast._internal.models.backend import BackendServer
 from dykemast._internal.operations.server_limits import KnownLimit
-from dykemast._internal.operations.server_turns import ServerTurns
+from dykemast._internal.operations.shared_rate_limiter import SharedRateLimiter
 from dykemast._internal.serving.knowledge.cold_servers import is_cold
-from dykemast._internal.serving.sending.sending import Sending
+from dykemast._internal.serving.sending.upstream_request import UpstreamRequest
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 
 
-def measure_wait(
+def compute_wait(
     board: ServingBoard,
-    turns: ServerTurns,
+    turns: SharedRateLimiter,
     server: BackendServer,
     cold_rate: float,
 ) -> float:
@@ -28,11 +28,11 @@
     :returns: seconds; infinite while only other routers may send to it.
     """
     name = server.name
-    if name not in board.cold_until and not board.asks.is_bound(name):
+    if name not in board.cold_until and not board.backpressure.is_bound(name):
         # Nearly always, and each request looks at each server.
         return 0
     now = read_clock()
-    rest = board.asks.measure_rest(name, now)
+    rest = board.backpressure.get_backoff(name, now)
     bound = _find_rate(board, name, cold_rate, now)
     if bound is None:
         return rest
@@ -42,13 +42,13 @@
     routers = frozenset((board.settings.name, *board.peers))
     return max(
         rest,
-        turns.measure_wait(name, routers, bound.rate, now, bound.told_at),
+        turns.compute_wait(name, routers, bound.rate, now, bound.answered_at),
     )
 
 
 def check_send(
     board: ServingBoard,
-    sending: Sending,
+    sending: UpstreamRequest,
 ) -> None:
     """Check once more that a server gets a request, when its bytes go out.
 
@@ -59,13 +59,13 @@
     :raises HeldBackError: when the server does not get it now.
     """
     name = sending.server.name
-    if name in board.leaving or board.asks.departed.find(
+    if name in board.leaving or board.backpressure.delisted.find(
         sending.server.server_id
     ):
         raise HeldBackError('it leaves')
-    if board.asks.measure_rest(name, read_clock()):
+    if board.backpressure.get_backoff(name, read_clock()):
         raise HeldBackError('it rests')
-    limit = board.asks.limits.find(name)
+    limit = board.backpressure.limits.find(name)
     if limit and limit.since > sending.made_at:
         raise HeldBackError('it has named a limit')
 
@@ -81,7 +81,7 @@
     if cold_rate and is_cold(board, name, now):
         # It warms up by itself, so that nobody has to ask.
         bounds.append(KnownLimit(cold_rate, math.inf, now))
-    named = board.asks.limits.find(name)
+    named = board.backpressure.limits.find(name)
     if named:
         bounds.append(named)
     return min(bounds, default=None)
--- a/src/dykemast/_internal/serving/sending/upstream.py
+++ b/src/dykemast/_internal/serving/sending/upstream.py
@@ -10,15 +10,18 @@
 
 from dykemast._internal.exceptions import UpstreamError
 from dykemast._internal.platform.request_headers import encode_forwarding
-from dykemast._internal.serving.sending.sending import CheckSend, Sending
+from dykemast._internal.serving.sending.upstream_request import (
+    CheckSend,
+    UpstreamRequest,
+)
 from dykemast._internal.serving.sending.upstream_session import (
     before_bytes,
     make_url,
     open_session,
 )
-from dykemast._internal.serving.sending.upstream_answer import (
+from dykemast._internal.serving.sending.upstream_response import (
     FAILURES,
-    Answer,
+    UpstreamResponse,
     NoteHead,
     check_head,
     is_break,
@@ -46,7 +49,9 @@
         self._session: aiohttp.ClientSession | None = None
 
     @asynccontextmanager
-    async def send(self, sending: Sending) -> AsyncIterator[Answer]:
+    async def send(
+        self, sending: UpstreamRequest
+    ) -> AsyncIterator[UpstreamResponse]:
         """Send a request; its connection is kept if the answer is whole.
 
         Else it is closed, so that the server stops its work.
@@ -71,15 +76,15 @@
 
     def _begin_answer(
         self,
-        sending: Sending,
+        sending: UpstreamRequest,
         response: aiohttp.ClientResponse,
-    ) -> Answer:
+    ) -> UpstreamResponse:
         head = read_head(sending.request.request_id, response)
         self._note_head(sending.server, head)
         check_head(head)
-        return Answer(head, response)
+        return UpstreamResponse(head, response)
 
-    async def _open(self, sending: Sending) -> aiohttp.ClientResponse:
+    async def _open(self, sending: UpstreamRequest) -> aiohttp.ClientResponse:
         try:
             return await self._request(sending)
         except _NO_CONNECTION as error:
@@ -96,7 +101,9 @@
                 text, sent=True, broken=is_break(error)
             ) from error
 
-    async def _request(self, sending: Sending) -> aiohttp.ClientResponse:
+    async def _request(
+        self, sending: UpstreamRequest
+    ) -> aiohttp.ClientResponse:
         if self._session is None:
             self._session = open_session()
         request = sending.request
--- a/src/dykemast/_internal/serving/sending/sending.py
+++ b/src/dykemast/_internal/serving/sending/upstream_request.py
@@ -5,13 +5,13 @@
 
 from dykemast._internal.models.backend import BackendServer
 from dykemast._internal.models.caller_request import CallerRequest
-from dykemast._internal.models.forwarding import Forwarding
+from dykemast._internal.models.forwarding import ForwardingFields
 from dykemast._internal.operations.priorities import choose_priority
 from dykemast._internal.serving.requests.ticket import Ticket
 from dykemast._internal.utils.clock import read_clock
 
 
-class Sending(NamedTuple):
+class UpstreamRequest(NamedTuple):
     """What is sent to a backend server.
 
     :param server: the server.
@@ -26,7 +26,7 @@
     server: BackendServer
     request: CallerRequest
     body: bytes
-    added: Forwarding
+    added: ForwardingFields
     deadline: float
     made_at: float
 
@@ -40,14 +40,14 @@
 
 
 #: Raises when a send must not go out after all.
-CheckSend = Callable[[Sending], None]
+CheckSend = Callable[[UpstreamRequest], None]
 
 
-def make_sending(
+def make_upstream_request(
     ticket: Ticket,
     body: bytes,
     server: BackendServer,
-) -> Sending:
+) -> UpstreamRequest:
     """Make what is sent of a request.
 
     :param ticket: the request.
@@ -60,10 +60,12 @@
     priority = None
     if ticket.service.engine:
         priority = choose_priority(workspace, ticket.route)
-    added = Forwarding(
+    added = ForwardingFields(
         server=server.server_id,
         workspace=workspace.name if workspace else '',
-        seconds=ticket.deadline - now,
+        time_left_s=ticket.deadline - now,
         priority=priority,
     )
-    return Sending(server, ticket.request, body, added, ticket.deadline, now)
+    return UpstreamRequest(
+        server, ticket.request, body, added, ticket.deadline, now
+    )
--- a/src/dykemast/_internal/serving/sending/upstream_answer.py
+++ b/src/dykemast/_internal/serving/sending/upstream_response.py
@@ -8,12 +8,12 @@
 
 from dykemast._internal.exceptions import UpstreamError
 from dykemast._internal.models.backend import BackendServer
-from dykemast._internal.models.forwarding import AnswerHead
+from dykemast._internal.models.forwarding import ResponseHead
 from dykemast._internal.platform.answer_headers import decode_answer
 from dykemast._internal.utils.clock import read_clock
 
 #: Takes note of the head of an answer of a server.
-NoteHead = Callable[[BackendServer, AnswerHead], None]
+NoteHead = Callable[[BackendServer, ResponseHead], None]
 
 #: Bytes of one answer at most.
 MAX_ANSWER: Final = 16_777_216
@@ -23,14 +23,14 @@
 _FIRST_FAILURE: Final = 300
 
 
-class Answer(NamedTuple):
+class UpstreamResponse(NamedTuple):
     """An answer that has begun.
 
     :param head: its head.
     :param response: the rest of it.
     """
 
-    head: AnswerHead
+    head: ResponseHead
     response: aiohttp.ClientResponse
 
     async def read_chunks(self, deadline: float) -> AsyncIterator[bytes]:
@@ -85,7 +85,7 @@
 def read_head(
     request_id: str,
     response: aiohttp.ClientResponse,
-) -> AnswerHead:
+) -> ResponseHead:
     """Read the head of an answer, and check that it is one to a request.
 
     :param request_id: id of the request.
@@ -100,13 +100,13 @@
     return head
 
 
-def check_head(head: AnswerHead) -> None:
+def check_head(head: ResponseHead) -> None:
     """Check that a request ran, by the head of its answer.
 
     :param head: the head.
     :raises UpstreamError: when it did not; tells whether it may have.
     """
-    if head.not_run:
+    if head.not_executed:
         raise UpstreamError(
             f'not run, status {head.status}',
             sent=False,
--- a/src/dykemast/_internal/serving/state/board.py
+++ b/src/dykemast/_internal/serving/state/board.py
@@ -18,7 +18,7 @@
     loop_watch,
     planned_stop,
     route_times,
-    server_asks,
+    backpressure_state,
 )
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.utils.clock import read_clock
@@ -83,7 +83,7 @@
         they are listed; ``serving.backends`` and ``serving.gossip``.
     :param cold_until: seconds until which a server counts as cold, by name;
         ``serving.cold_servers``.
-    :param asks: what servers ask for in their answers;
+    :param backpressure: what servers ask for in their answers;
         ``serving.backpressure``, ``serving.backends`` and ``serving.gossip``.
     :param evacuations: halls that are being emptied;
         ``serving.evacuations``.
@@ -138,8 +138,8 @@
     lapsed: dict[str, float] = dataclasses.field(default_factory=dict)
     leaving: set[str] = dataclasses.field(default_factory=set)
     cold_until: dict[str, float] = dataclasses.field(default_factory=dict)
-    asks: server_asks.ServerAsks = dataclasses.field(
-        default_factory=server_asks.ServerAsks
+    backpressure: backpressure_state.BackpressureState = dataclasses.field(
+        default_factory=backpressure_state.BackpressureState
     )
     evacuations: Evacuations = Evacuations()
     peers: dict[str, Peer] = dataclasses.field(default_factory=dict)
--- a/src/dykemast/_internal/serving/state/loads.py
+++ b/src/dykemast/_internal/serving/state/loads.py
@@ -41,7 +41,7 @@
     )
 
 
-def measure_load(loads: Loads, server: str, now: float) -> ServerLoad:
+def compute_load(loads: Loads, server: str, now: float) -> ServerLoad:
     """Add up what is known of a server's load.
 
     :param loads: what is known.
@@ -49,8 +49,8 @@
     :param now: seconds.
     :returns: the load, of all routers that were heard of lately.
     """
-    own = loads.own.measure(server)
-    peers = loads.peers.measure(server, now)
+    own = loads.own.get_load(server)
+    peers = loads.peers.get_load(server, now)
     return ServerLoad(
         server, own.running + peers.running, own.unread + peers.unread
     )
--- a/src/dykemast/_internal/serving/tokens/budget_owners.py
+++ b/src/dykemast/_internal/serving/tokens/budget_owners.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from dykemast._internal.models.fleet import PeerCard
-from dykemast._internal.operations.rendezvous import choose_keeper
+from dykemast._internal.operations.rendezvous import choose_owner
 from dykemast._internal.serving.state.board import (
     Peer,
     ServingBoard,
@@ -42,7 +42,7 @@
     """
     cards = {peer.card.instance: peer.card for peer in _list_reachable(board)}
     names = [board.settings.name, *cards]
-    return cards.get(choose_keeper(workspace, names) or '')
+    return cards.get(choose_owner(workspace, names) or '')
 
 
 def _list_reachable(board: ServingBoard) -> Iterable[Peer]:
--- a/src/dykemast/_internal/serving/tokens/loans.py
+++ b/src/dykemast/_internal/serving/tokens/loans.py
@@ -34,8 +34,10 @@
     lenders = choose_lenders(peers, account)
     missing = account.pending - account.allowance.count_available()
     if missing > 0:
-        asks = (ask_lender(gossip, card, account, missing) for card in lenders)
-        await asyncio.gather(*asks)
+        backpressure = (
+            ask_lender(gossip, card, account, missing) for card in lenders
+        )
+        await asyncio.gather(*backpressure)
 
 
 def choose_lenders(peers: list[PeerCard], account: Account) -> list[PeerCard]:
--- a/tests/lib/limit_world.py
+++ b/tests/lib/limit_world.py
@@ -1,7 +1,7 @@
 """Routers that all send to a server that names a limit, for the fuzzers."""
 
 from dykemast._internal.operations.server_limits import NO_LIMIT, ServerLimits
-from dykemast._internal.operations.server_turns import ServerTurns
+from dykemast._internal.operations.shared_rate_limiter import SharedRateLimiter
 
 SERVER = 'i-1/7'
 #: Seconds from the first word of a limit on after which it holds, seconds in
@@ -22,8 +22,8 @@
     def __init__(self, name: str, started_at: float) -> None:
         self.name = name
         self.limits = ServerLimits()
-        self.turns = ServerTurns(name, started_at)
-        self.told_at: float | None = None
+        self.turns = SharedRateLimiter(name, started_at)
+        self.answered_at: float | None = None
 
 
 class LimitedFleet:
@@ -45,34 +45,34 @@
         """Have one router send as much as it may."""
         router = self.find(number)
         for _ in range(CROWD):
-            if self.measure_wait(router):
+            if self.compute_wait(router):
                 return
             self.send(router)
 
-    def measure_wait(self, router: Router) -> float:
+    def compute_wait(self, router: Router) -> float:
         known = router.limits.find(SERVER)
         if known is None:
             return 0
-        return router.turns.measure_wait(
+        return router.turns.compute_wait(
             SERVER,
             self.views[router.name],
             known.rate,
             self.now,
-            known.told_at,
+            known.answered_at,
         )
 
     def send(self, router: Router) -> None:
-        router.turns.note_sent(SERVER, self.now)
-        knows = router.told_at is not None
-        if knows and self.now - router.told_at >= KNOW_TIME:
+        router.turns.record_sent(SERVER, self.now)
+        knows = router.answered_at is not None
+        if knows and self.now - router.answered_at >= KNOW_TIME:
             self.counted.append(self.now)
-        router.limits.note(SERVER, self.limit or NO_LIMIT, self.now)
+        router.limits.record(SERVER, self.limit or NO_LIMIT, self.now)
         if self.limit and not knows:
-            router.told_at = self.now
+            router.answered_at = self.now
 
-    def tell(self, teller: int, hearer: int) -> None:
-        told = self.find(teller).limits.tell(self.now)
-        self.find(hearer).limits.take(told, self.now)
+    def gossip(self, teller: int, hearer: int) -> None:
+        told = self.find(teller).limits.export(self.now)
+        self.find(hearer).limits.merge(told, self.now)
 
     def name_limit(self, limit: float) -> None:
         """Begin, change or end the limit."""
@@ -80,7 +80,7 @@
         self.named_at = self.now
         self.counted = []
         for router in self.routers:
-            router.told_at = None
+            router.answered_at = None
 
 
 def start_again(fleet: LimitedFleet, number: int) -> None:
--- a/tests/unit/test_backpressure.py
+++ b/tests/unit/test_backpressure.py
@@ -19,7 +19,7 @@
 
 
 def read_asks(status: int, **fields: str) -> Backpressure:
-    return decode_answer(status, fields).asks
+    return decode_answer(status, fields).backpressure
 
 
 def test_an_answer_that_asks_for_nothing_holds_nothing_back() -> None:
@@ -27,8 +27,8 @@
 
 
 def test_limits_and_rests_may_be_fractions() -> None:
-    asks = read_asks(UNAVAILABLE, **{LIMIT: '1.75', REST: '0.25'})
-    assert asks == Backpressure(limit=1.75, rest=0.25)
+    backpressure = read_asks(UNAVAILABLE, **{LIMIT: '1.75', REST: '0.25'})
+    assert backpressure == Backpressure(limit=1.75, rest=0.25)
 
 
 def test_only_a_server_that_turns_a_request_away_asks_for_rest() -> None:
@@ -52,13 +52,13 @@
 
 def test_what_makes_no_sense_asks_for_nothing() -> None:
     for text in SENSELESS:
-        asks = read_asks(UNAVAILABLE, **{LIMIT: text, REST: text})
-        assert asks == Backpressure(), text
+        backpressure = read_asks(UNAVAILABLE, **{LIMIT: text, REST: text})
+        assert backpressure == Backpressure(), text
 
 
 @given(text=st.text())
 def test_no_text_makes_an_answer_unreadable(text) -> None:
     fields = {LIMIT: text, REST: text, LEAVING: text}
-    asks = read_asks(UNAVAILABLE, **fields)
-    assert asks.limit is None or asks.limit >= MIN_LIMIT
-    assert 0 <= asks.rest <= MAX_REST
+    backpressure = read_asks(UNAVAILABLE, **fields)
+    assert backpressure.limit is None or backpressure.limit >= MIN_LIMIT
+    assert 0 <= backpressure.rest <= MAX_REST
--- a/tests/unit/test_caller_fields.py
+++ b/tests/unit/test_caller_fields.py
@@ -8,7 +8,7 @@
 
 from hypothesis import given, strategies
 
-from dykemast._internal.models.forwarding import Forwarding
+from dykemast._internal.models.forwarding import ForwardingFields
 from dykemast._internal.platform import names as words
 from dykemast._internal.platform.request_headers import (
     decode_request,
@@ -68,7 +68,7 @@
     'transfer-encoding',
     'upgrade',
 )
-ADDED = Forwarding('i-1', 'joinville', 1.2, 4)
+ADDED = ForwardingFields('i-1', 'joinville', 1.2, 4)
 SAID: Fields = (
     ('host', HOST),
     ('x-expect-instance', 'i-1'),
--- a/tests/unit/test_choice_cost.py
+++ b/tests/unit/test_choice_cost.py
@@ -33,9 +33,9 @@
         super().__init__()
         self.asked = 0
 
-    def measure_risk(self, engine: str, now: float) -> float:
+    def estimate_risk(self, engine: str, now: float) -> float:
         self.asked += 1
-        return super().measure_risk(engine, now)
+        return super().estimate_risk(engine, now)
 
 
 def make_ticket(tokens: int) -> Ticket:
--- a/tests/unit/test_cold_fuzz.py
+++ b/tests/unit/test_cold_fuzz.py
@@ -14,7 +14,7 @@
     rule,
 )
 
-from dykemast._internal.operations.server_turns import ServerTurns
+from dykemast._internal.operations.shared_rate_limiter import SharedRateLimiter
 
 SERVER = 'i-1/7'
 #: What users allow beyond the rate of a cold server.
@@ -39,19 +39,21 @@
         self.names = [f'node-{number}' for number in range(count)]
         everybody = frozenset(self.names)
         self.views = {name: everybody for name in self.names}
-        self.routers = {name: ServerTurns(name, -1e9) for name in self.names}
+        self.routers = {
+            name: SharedRateLimiter(name, -1e9) for name in self.names
+        }
 
     def ask(self, number: int) -> None:
         """Have one router send as much as it may."""
         name = self.names[number % len(self.names)]
         router = self.routers[name]
         for _ in range(100):
-            wait = router.measure_wait(
+            wait = router.compute_wait(
                 SERVER, self.views[name], self.rate, self.now
             )
             if wait:
                 return
-            router.note_sent(SERVER, self.now)
+            router.record_sent(SERVER, self.now)
             self.sent.append(self.now)
 
     def ask_all(self) -> None:
@@ -99,7 +101,7 @@
     def start_again(self, number) -> None:
         fleet = self.fleet
         name = fleet.names[number % len(fleet.names)]
-        fleet.routers[name] = ServerTurns(name, fleet.now)
+        fleet.routers[name] = SharedRateLimiter(name, fleet.now)
 
     @rule(number=NUMBERS, seed=st.integers(0, 99))
     def forget(self, number, seed) -> None:
@@ -151,7 +153,7 @@
 def test_a_router_that_starts_counts_what_it_may_have_sent_before() -> None:
     fleet = ColdFleet(1, RATE)
     fleet.ask(0)
-    fleet.routers['node-0'] = ServerTurns('node-0', 0.05)
+    fleet.routers['node-0'] = SharedRateLimiter('node-0', 0.05)
     fleet.now = 0.1
     fleet.ask(0)
     assert len(fleet.sent) == 1
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -94,14 +94,14 @@
     loads = peer_loads.PeerLoads()
     for number, name in enumerate(names):
         told = (ServerLoad('engine-0', 1, number),)
-        loads.take(name, told, number / len(names))
+        loads.merge(name, told, number / len(names))
     return loads
 
 
 def count_written(loads: peer_loads.PeerLoads) -> int:
     written = mock.Mock(wraps=peer_loads.RelayedLoads)
     with mock.patch.object(peer_loads, 'RelayedLoads', written):
-        loads.relay(1)
+        loads.export_recent(1)
     return written.call_count
 
 
@@ -109,6 +109,6 @@
     for size in SIZES:
         names = list_names(size)
         loads = take_all(names)
-        assert count_written(loads) == peer_loads.MAX_RELAYED
-        newest = reversed(names[-peer_loads.MAX_RELAYED :])
-        assert [one.instance for one in loads.relay(1)] == list(newest)
+        assert count_written(loads) == peer_loads.MAX_RELAYED_ROUTERS
+        newest = reversed(names[-peer_loads.MAX_RELAYED_ROUTERS :])
+        assert [one.instance for one in loads.export_recent(1)] == list(newest)
--- a/tests/unit/test_known_limits.py
+++ b/tests/unit/test_known_limits.py
@@ -7,19 +7,19 @@
 
 def test_the_newest_answer_counts_whoever_got_it() -> None:
     limits, peer = ServerLimits(), ServerLimits()
-    limits.note(SERVER, 2, 1)
-    peer.note(SERVER, 3, 2)
-    peer.note(SERVER, NO_LIMIT, 4)
-    limits.take(peer.tell(5), 5)
+    limits.record(SERVER, 2, 1)
+    peer.record(SERVER, 3, 2)
+    peer.record(SERVER, NO_LIMIT, 4)
+    limits.merge(peer.export(5), 5)
     assert limits.find(SERVER) is None
-    limits.note(SERVER, 1.5, 6)
-    limits.take(peer.tell(7), 7)
+    limits.record(SERVER, 1.5, 6)
+    limits.merge(peer.export(7), 7)
     assert limits.find(SERVER).rate == 3 / 2
 
 
 def test_servers_that_are_gone_are_forgotten_but_lapsed_ones_are_not() -> None:
     limits = ServerLimits()
-    limits.note(SERVER, 2, 0)
+    limits.record(SERVER, 2, 0)
     limits.keep_only((), 30)
     assert limits.find(SERVER)
     limits.keep_only((), 90)
@@ -28,5 +28,5 @@
 
 def test_answers_without_a_limit_leave_nothing_behind() -> None:
     limits = ServerLimits()
-    limits.note(SERVER, NO_LIMIT, 1)
-    assert not limits.tell(1)
+    limits.record(SERVER, NO_LIMIT, 1)
+    assert not limits.export(1)
--- a/tests/unit/test_lapsed_leavers.py
+++ b/tests/unit/test_lapsed_leavers.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 from dykemast._internal.models.backend import Backpressure
-from dykemast._internal.models.forwarding import AnswerHead
+from dykemast._internal.models.forwarding import ResponseHead
 from dykemast._internal.platform.store_types import Listing, StoreObject
 from dykemast._internal.serving.knowledge.backends import list_usable
 from dykemast._internal.serving.knowledge.backpressure import note_asks
@@ -26,11 +26,11 @@
         'state': 'ready',
     }
 )
-LEAVING = AnswerHead(
+LEAVING = ResponseHead(
     status=200,
     request_id='r-1',
     signed=True,
-    not_run=False,
+    not_executed=False,
     misdirected=False,
     headers=[],
     delimited=True,
--- a/tests/unit/test_large_fleet.py
+++ b/tests/unit/test_large_fleet.py
@@ -3,8 +3,11 @@
 from dykemast._internal.models.caller_request import PromptPart
 from dykemast._internal.models.news import ServerLoad
 from dykemast._internal.operations.absent_servers import AbsentServers
-from dykemast._internal.operations.peer_loads import MAX_RELAYED, PeerLoads
-from dykemast._internal.operations.prompt_caches import find_home
+from dykemast._internal.operations.peer_loads import (
+    MAX_RELAYED_ROUTERS,
+    PeerLoads,
+)
+from dykemast._internal.operations.prompt_caches import choose_prefix_owner
 from dykemast._internal.serving.members.gossip_partners import (
     PEERS_A_ROUND,
     PEERS_IN_LARGE_FLEET,
@@ -16,29 +19,29 @@
 
 def test_loads_reach_routers_that_did_not_hear_them() -> None:
     first, second = PeerLoads(), PeerLoads()
-    first.take('node-9', (ServerLoad('a', 3, 40),), now=10)
-    second.take_relayed(first.relay(10.4), 'node-1', now=10.4)
-    assert second.measure('a', 10.5) == ServerLoad('a', 3, 40)
-    assert second.measure('a', 12.1).running == 0, 'it is as old as it was'
+    first.merge('node-9', (ServerLoad('a', 3, 40),), now=10)
+    second.merge_relayed(first.export_recent(10.4), 'node-1', now=10.4)
+    assert second.get_load('a', 10.5) == ServerLoad('a', 3, 40)
+    assert second.get_load('a', 12.1).running == 0, 'it is as old as it was'
 
 
 def test_what_was_relayed_never_replaces_newer_loads_or_own_ones() -> None:
     first, second = PeerLoads(), PeerLoads()
-    first.take('node-9', (ServerLoad('a', 3, 0),), now=10)
-    first.take('node-1', (ServerLoad('a', 5, 0),), now=10)
-    second.take('node-9', (ServerLoad('a', 1, 0),), now=10.2)
-    second.take_relayed(first.relay(10.4), 'node-1', now=10.4)
-    assert second.measure('a', 10.5).running == 1
+    first.merge('node-9', (ServerLoad('a', 3, 0),), now=10)
+    first.merge('node-1', (ServerLoad('a', 5, 0),), now=10)
+    second.merge('node-9', (ServerLoad('a', 1, 0),), now=10.2)
+    second.merge_relayed(first.export_recent(10.4), 'node-1', now=10.4)
+    assert second.get_load('a', 10.5).running == 1
 
 
 def test_only_the_newest_loads_are_passed_on() -> None:
     loads = PeerLoads()
-    for number in range(2 * MAX_RELAYED):
-        loads.take(f'node-{number}', (), now=10 + number / 1000)
-    names = {one.instance for one in loads.relay(10.2)}
-    assert len(names) == MAX_RELAYED
+    for number in range(2 * MAX_RELAYED_ROUTERS):
+        loads.merge(f'node-{number}', (), now=10 + number / 1000)
+    names = {one.instance for one in loads.export_recent(10.2)}
+    assert len(names) == MAX_RELAYED_ROUTERS
     assert 'node-0' not in names
-    assert not loads.relay(20)
+    assert not loads.export_recent(20)
 
 
 def test_partners_are_those_met_longest_ago() -> None:
@@ -68,20 +71,25 @@
 
 def test_an_absent_server_is_passed_over_here_and_at_peers() -> None:
     first, second = AbsentServers(), AbsentServers()
-    first.note('a', now=10, seconds=4)
-    second.take(first.tell(11), now=11)
+    first.record('a', now=10, seconds=4)
+    second.merge(first.export(11), now=11)
     assert second.is_absent('a', 13.9)
     # What comes back from there believes it no longer than the first did.
-    first.take(second.tell(12), now=12)
+    first.merge(second.export(12), now=12)
     assert not first.is_absent('a', 14.1)
-    assert not first.tell(14.1)
+    assert not first.export(14.1)
 
 
 def test_a_shared_part_has_one_home_for_all_routers() -> None:
     servers = [f'engine-{number}' for number in range(9)]
     shared, other = PromptPart('aa', 500), PromptPart('bb', 70)
-    home = find_home([shared, PromptPart('own', 9)], servers)
+    home = choose_prefix_owner([shared, PromptPart('own', 9)], servers)
     assert home in servers
-    assert find_home([shared, PromptPart('x', 5)], reversed(servers)) == home
-    assert find_home([shared, other], [home, 'engine-x']) == home
-    assert find_home([other], servers) is None, 'it is of one request only'
+    assert (
+        choose_prefix_owner([shared, PromptPart('x', 5)], reversed(servers))
+        == home
+    )
+    assert choose_prefix_owner([shared, other], [home, 'engine-x']) == home
+    assert choose_prefix_owner([other], servers) is None, (
+        'it is of one request only'
+    )
--- a/tests/unit/test_limit_fuzz.py
+++ b/tests/unit/test_limit_fuzz.py
@@ -57,8 +57,8 @@
             self.fleet.ask(number)
 
     @rule(teller=NUMBERS, hearer=NUMBERS)
-    def tell(self, teller, hearer) -> None:
-        self.fleet.tell(teller, hearer)
+    def gossip(self, teller, hearer) -> None:
+        self.fleet.gossip(teller, hearer)
 
     @rule(limit=st.sampled_from((*LIMITS, NO_LIMIT)))
     def name_limit(self, limit) -> None:
@@ -97,7 +97,7 @@
         for number, _ in enumerate(fleet.routers):
             fleet.ask(number)
             if heard:
-                fleet.tell(draw.randrange(300), number)
+                fleet.gossip(draw.randrange(300), number)
         fleet.now += 0.05
     return len(fleet.counted) - begun
 
@@ -124,21 +124,21 @@
     play(fleet, 4, heard=True)
     fleet.name_limit(NO_LIMIT)
     play(fleet, 2, heard=True)
-    assert not any(map(fleet.measure_wait, fleet.routers))
+    assert not any(map(fleet.compute_wait, fleet.routers))
 
 
 def test_who_has_no_turn_does_not_know_when_it_will_have_one() -> None:
     fleet = LimitedFleet(6, 1.8)
     play(fleet, 4, heard=True)
-    waits = [fleet.measure_wait(router) for router in fleet.routers]
+    waits = [fleet.compute_wait(router) for router in fleet.routers]
     assert sum(map(math.isinf, waits)) == 5
 
 
 def test_the_next_router_asks_where_those_whose_turn_it_is_are_gone() -> None:
     fleet = LimitedFleet(6, 1.8)
     play(fleet, 4, heard=True)
-    first = min(fleet.routers, key=fleet.measure_wait)
+    first = min(fleet.routers, key=fleet.compute_wait)
     fleet.routers.remove(first)
     fleet.name_limit(NO_LIMIT)
     play(fleet, 8, heard=True)
-    assert not any(map(fleet.measure_wait, fleet.routers))
+    assert not any(map(fleet.compute_wait, fleet.routers))
--- a/tests/unit/test_load_sums.py
+++ b/tests/unit/test_load_sums.py
@@ -35,7 +35,7 @@
     loads = peer_loads.PeerLoads()
     for number in range(size):
         told = (ServerLoad('engine-0', 1, number),)
-        loads.take(f'node-{number}', told, number / size)
+        loads.merge(f'node-{number}', told, number / size)
     return loads
 
 
@@ -44,23 +44,23 @@
         loads = take_all(size)
         loads._told = CountedTold(loads._told)
         for server in range(SERVERS):
-            loads.measure(f'engine-{server}', 1)
+            loads.get_load(f'engine-{server}', 1)
         assert loads._told.looks <= size, size
 
 
 def test_requests_are_added_up_as_they_were_told() -> None:
     loads = take_all(30)
-    assert loads.measure('engine-0', 1) == ServerLoad('engine-0', 30, 435)
-    assert loads.measure('engine-1', 1) == ServerLoad('engine-1', 0, 0)
-    loads.take('node-0', (ServerLoad('engine-1', 5, 7),), 1)
-    assert loads.measure('engine-0', 1).running == 29
-    assert loads.measure('engine-1', 1) == ServerLoad('engine-1', 5, 7)
+    assert loads.get_load('engine-0', 1) == ServerLoad('engine-0', 30, 435)
+    assert loads.get_load('engine-1', 1) == ServerLoad('engine-1', 0, 0)
+    loads.merge('node-0', (ServerLoad('engine-1', 5, 7),), 1)
+    assert loads.get_load('engine-0', 1).running == 29
+    assert loads.get_load('engine-1', 1) == ServerLoad('engine-1', 5, 7)
 
 
 def test_what_is_too_old_is_not_added_up() -> None:
     loads = take_all(30)
-    loads.take('node-0', (ServerLoad('engine-1', 5, 7),), 1)
-    later = 0.5 + peer_loads.PEER_LOAD_AGE
-    assert loads.measure('engine-0', 1).running == 29
-    assert loads.measure('engine-0', later).running == 14
-    assert loads.measure('engine-1', later).running == 5
+    loads.merge('node-0', (ServerLoad('engine-1', 5, 7),), 1)
+    later = 0.5 + peer_loads.MAX_PEER_LOAD_AGE_S
+    assert loads.get_load('engine-0', 1).running == 29
+    assert loads.get_load('engine-0', later).running == 14
+    assert loads.get_load('engine-1', later).running == 5
--- a/tests/unit/test_long_prompts.py
+++ b/tests/unit/test_long_prompts.py
@@ -91,7 +91,7 @@
         return next(one for one in self.engines if one.name == name)
 
     def weigh(self, engine: Engine, missing: int, now: float) -> EngineOption:
-        risk = self.pauses.measure_risk(engine.name, now)
+        risk = self.pauses.estimate_risk(engine.name, now)
         return EngineOption(
             server=engine.name,
             running=len(engine.list_running(now)),
@@ -115,7 +115,7 @@
         self.late_prompts.append(first - now > FIRST_OBJECTIVE)
         pause = STEPS_PER_EVENT * engine.step + USUAL_PAUSE
         for stream in engine.list_running(now):
-            self.pauses.note(engine.name, pause, OBJECTIVE, now)
+            self.pauses.record(engine.name, pause, OBJECTIVE, now)
             stream.late = stream.late or pause > OBJECTIVE
 
     def measure(self) -> Outcome:
--- a/tests/unit/test_news_size.py
+++ b/tests/unit/test_news_size.py
@@ -6,7 +6,7 @@
 """
 
 from dykemast._internal.models.news import ServerLoad
-from dykemast._internal.operations.peer_loads import MAX_RELAYED
+from dykemast._internal.operations.peer_loads import MAX_RELAYED_ROUTERS
 from dykemast._internal.serving.members.peer_news import PeerNews
 from dykemast._internal.serving.state.loads import make_loads
 from dykemast._internal.utils.clock import read_clock
@@ -26,7 +26,7 @@
             ServerLoad('i-{0:04}9c2e'.format(17 * number + server), 1, 900)
             for server in range(SERVERS_EACH)
         ]
-        loads.peers.take(f'node-{number}', tuple(told), now)
+        loads.peers.merge(f'node-{number}', tuple(told), now)
     return PeerNews(boards[0], loads)
 
 
@@ -38,7 +38,7 @@
     body = make_busy_news(195).write_news()
     news = PeerNews(make_board('node-999'), make_loads()).take_news(body)
     assert news.card.instance == 'node-0'
-    assert len(news.relayed) == MAX_RELAYED
+    assert len(news.relayed) == MAX_RELAYED_ROUTERS
     assert {len(one.loads) for one in news.relayed} == {SERVERS_EACH}
 
 
--- a/tests/unit/test_planned_stop.py
+++ b/tests/unit/test_planned_stop.py
@@ -5,7 +5,7 @@
 
 from dykemast._internal.operations import planned_stop
 from dykemast._internal.operations.loop_watch import STALL_TIME, LoopWatch
-from dykemast._internal.operations.route_times import SPAN, RouteTimes
+from dykemast._internal.operations.route_times import SPAN_S, RouteTimes
 from dykemast._internal.serving.admission.in_progress import STOPPING_RETRY
 from dykemast._internal.serving.requests.refusals import (
     RefusalCode,
@@ -94,21 +94,21 @@
 
 def test_the_longest_time_of_a_route_counts_for_two_spans() -> None:
     usual = RouteTimes()
-    assert usual.measure('a', 5) == 0
-    usual.note('a', 3, 5)
-    usual.note('a', 2, 6)
-    assert usual.measure('a', 6) == 3
-    assert usual.measure('b', 6) == 0
-    assert usual.measure('a', SPAN + 6) == 3
-    assert usual.measure('a', 2 * SPAN + 6) == 0
+    assert usual.estimate_duration('a', 5) == 0
+    usual.record('a', 3, 5)
+    usual.record('a', 2, 6)
+    assert usual.estimate_duration('a', 6) == 3
+    assert usual.estimate_duration('b', 6) == 0
+    assert usual.estimate_duration('a', SPAN_S + 6) == 3
+    assert usual.estimate_duration('a', 2 * SPAN_S + 6) == 0
 
 
 def test_requests_in_progress_tell_how_long_others_may_take() -> None:
     usual = RouteTimes()
-    with usual.run('a', 5):
-        assert usual.measure('a', 12) == 7
-        assert usual.measure('b', 12) == 0
-    assert usual.measure('a', 12) == 0
+    with usual.track('a', 5):
+        assert usual.estimate_duration('a', 12) == 7
+        assert usual.estimate_duration('b', 12) == 0
+    assert usual.estimate_duration('a', 12) == 0
 
 
 def test_a_refusal_of_a_stopping_router_sends_callers_elsewhere() -> None:
--- a/tests/unit/test_platform_words.py
+++ b/tests/unit/test_platform_words.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from dykemast._internal.exceptions import InvalidFileError
-from dykemast._internal.models.forwarding import Forwarding
+from dykemast._internal.models.forwarding import ForwardingFields
 from dykemast._internal.models.routing_table import RouteKind
 from dykemast._internal.platform import (
     answer_headers,
@@ -85,7 +85,7 @@
     assert round(request.patience * 1000) == 1500
     assert (request.prompt_tokens, request.output_tokens) == (1460, 80)
     assert [part.tokens for part in request.prompt] == [800, 410]
-    added = Forwarding('i-1', 'joinville', 1.2, 4, '15')
+    added = ForwardingFields('i-1', 'joinville', 1.2, 4, '15')
     fields = request_headers.encode_forwarding(request, added)
     assert dict(fields) == {
         'x-attempt-id': 'a1',
@@ -106,12 +106,12 @@
     shed = answer_headers.decode_answer(
         503, {'x-attempt-id': 'a1', 'x-not-executed': '1'}
     )
-    assert shed.not_run
-    assert answer_headers.decode_answer(421, {}).not_run
+    assert shed.not_executed
+    assert answer_headers.decode_answer(421, {}).not_executed
     failed = answer_headers.decode_answer(
         500, {'x-response-seal': 's', 'connection': 'close'}
     )
-    assert not failed.not_run
+    assert not failed.not_executed
     assert failed.signed
     assert failed.headers == [(b'x-response-seal', b's')]
     assert not failed.delimited
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -4,7 +4,7 @@
 
 from dykemast._internal.models.fleet import Instance, LoadReport
 from dykemast._internal.operations.routing import rank_workers
-from dykemast._internal.operations.worker_load import Candidate, Ranking
+from dykemast._internal.operations.worker_load import Candidate, RankingContext
 
 
 def make_workers(*inflight: int, hall: str = 'north') -> list[Candidate]:
@@ -22,7 +22,7 @@
 def choose(workers: list[Candidate], prefix: int) -> list[str]:
     """Choose often; the names of the first choices."""
     chance = random.Random(1)
-    ranking = Ranking('north', prefix, 1)
+    ranking = RankingContext('north', prefix, 1)
     return [
         rank_workers(workers, ranking, chance)[0].instance.name
         for _ in range(200)
@@ -56,4 +56,4 @@
 
 
 def test_no_worker_is_no_choice() -> None:
-    assert not rank_workers([], Ranking('north', 1, 1), random.Random(1))
+    assert not rank_workers([], RankingContext('north', 1, 1), random.Random(1))
--- a/tests/unit/test_send_checks.py
+++ b/tests/unit/test_send_checks.py
@@ -4,15 +4,15 @@
 
 from dykemast._internal.exceptions import HeldBackError
 from dykemast._internal.models.backend import BackendServer, Backpressure
-from dykemast._internal.models.forwarding import AnswerHead
-from dykemast._internal.operations.server_turns import ServerTurns
+from dykemast._internal.models.forwarding import ResponseHead
+from dykemast._internal.operations.shared_rate_limiter import SharedRateLimiter
 from dykemast._internal.serving.knowledge.backends import take_server
 from dykemast._internal.serving.knowledge.backpressure import note_asks
 from dykemast._internal.serving.sending.send_checks import (
     check_send,
-    measure_wait,
+    compute_wait,
 )
-from dykemast._internal.serving.sending.sending import Sending
+from dykemast._internal.serving.sending.upstream_request import UpstreamRequest
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_board, make_endpoint
@@ -26,11 +26,11 @@
     slots=6,
     leaving=False,
 )
-TURNED_AWAY: Final = AnswerHead(
+TURNED_AWAY: Final = ResponseHead(
     status=503,
     request_id='r-1',
     signed=False,
-    not_run=True,
+    not_executed=True,
     misdirected=False,
     headers=[],
     delimited=True,
@@ -47,19 +47,19 @@
     return board
 
 
-def answer(board: ServingBoard, **asks: float) -> None:
-    asked = Backpressure(**asks)
-    note_asks(board, SERVER, TURNED_AWAY._replace(asks=asked))
+def answer(board: ServingBoard, **backpressure: float) -> None:
+    asked = Backpressure(**backpressure)
+    note_asks(board, SERVER, TURNED_AWAY._replace(backpressure=asked))
 
 
 def measure(board: ServingBoard) -> float:
-    turns = ServerTurns(board.settings.name, read_clock())
-    return measure_wait(board, turns, SERVER, 0)
+    turns = SharedRateLimiter(board.settings.name, read_clock())
+    return compute_wait(board, turns, SERVER, 0)
 
 
 def is_held_back(board: ServingBoard, made_at: float) -> bool:
     """Tell whether a send is held back that was chosen at a moment."""
-    sending = Sending(SERVER, None, b'', None, made_at + 1, made_at)
+    sending = UpstreamRequest(SERVER, None, b'', None, made_at + 1, made_at)
     try:
         check_send(board, sending)
     except HeldBackError as error:
@@ -100,12 +100,12 @@
 
 
 def test_what_was_chosen_before_a_server_spoke_does_not_go_out() -> None:
-    for asks in ({'rest': REST}, {'limit': LIMIT}, {'leaving': True}):
+    for backpressure in ({'rest': REST}, {'limit': LIMIT}, {'leaving': True}):
         board = make_one()
         made_at = read_clock()
         assert not is_held_back(board, made_at)
-        answer(board, **asks)
-        assert is_held_back(board, made_at), asks
+        answer(board, **backpressure)
+        assert is_held_back(board, made_at), backpressure
 
 
 def test_a_turn_that_was_taken_under_a_limit_goes_out() -> None:
@@ -124,7 +124,7 @@
 def test_rests_that_are_over_are_forgotten() -> None:
     board = make_one()
     answer(board, rest=REST)
-    board.asks.forget((), read_clock())
-    assert board.asks.rests
-    board.asks.forget((), read_clock() + 2 * REST)
-    assert not board.asks.rests
+    board.backpressure.forget((), read_clock())
+    assert board.backpressure.backoff_until
+    board.backpressure.forget((), read_clock() + 2 * REST)
+    assert not board.backpressure.backoff_until
--- a/tests/unit/test_server_starts.py
+++ b/tests/unit/test_server_starts.py
@@ -18,7 +18,7 @@
 from dykemast._internal.serving.knowledge.follower import take_listing
 from dykemast._internal.serving.knowledge.server_entries import make_follower
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.state.loads import make_loads, measure_load
+from dykemast._internal.serving.state.loads import make_loads, compute_load
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_board, make_boards
 
@@ -98,11 +98,11 @@
     now = read_clock()
     read_entry(board, 2, born=2000)
     note_leaving(board, ['i-1/1000'], 'node-1')
-    loads.absent.take([AbsentServer('i-1/1000', 4)], now)
-    loads.peers.take('node-1', (ServerLoad('i-1/1000', 9, 5000),), now)
+    loads.absent.merge([AbsentServer('i-1/1000', 4)], now)
+    loads.peers.merge('node-1', (ServerLoad('i-1/1000', 9, 5000),), now)
     assert uses(board, 'i-1/2000')
     assert not loads.absent.is_absent('i-1/2000', now)
-    assert not measure_load(loads, 'i-1/2000', now).running
+    assert not compute_load(loads, 'i-1/2000', now).running
 
 
 def test_routers_that_read_at_other_times_name_a_start_alike() -> None:
--- a/tests/unit/test_serving_rules.py
+++ b/tests/unit/test_serving_rules.py
@@ -6,7 +6,7 @@
 from dykemast._internal.operations.peer_loads import PeerLoads
 from dykemast._internal.operations.prompt_caches import PromptCache
 from dykemast._internal.operations.prompt_caches import PromptCaches
-from dykemast._internal.operations.retry_allowance import RetryAllowance
+from dykemast._internal.operations.retry_budget import RetryBudget
 from dykemast._internal.operations.server_choice import (
     EngineOption,
     ServiceOption,
@@ -14,7 +14,7 @@
     cost_engine,
     cost_plain,
 )
-from dykemast._internal.operations.server_trust import ServerTrust
+from dykemast._internal.operations.server_health import ServerHealth
 from dykemast._internal.serving.relay.event_parser import (
     EventParser,
     parse_event_id,
@@ -35,22 +35,22 @@
 def test_all_routers_together_keep_the_allowance_for_retries() -> None:
     spent = 0
     for _ in range(6):
-        allowance = RetryAllowance(0.2, 52, 10)
+        allowance = RetryBudget(0.2, 52, 10)
         for _ in range(10):
-            allowance.note_request(0)
-        spent += sum(allowance.spend(1, 6) for _ in range(100))
+            allowance.record_request(0)
+        spent += sum(allowance.consume(1, 6) for _ in range(100))
     assert 0 < spent <= 0.2 * 60 + 52
-    assert allowance.spend(20, 6), 'the window slides'
+    assert allowance.consume(20, 6), 'the window slides'
 
 
 def test_a_prompt_part_is_of_use_after_those_before_it_only() -> None:
     cache = PromptCache(100)
     first, second = PromptPart('a', 60), PromptPart('b', 30)
-    cache.note_prompt([first, second])
-    assert cache.count_kept([first, second]) == 90
-    assert not cache.count_kept([PromptPart('x', 5), second])
-    cache.note_prompt([PromptPart('c', 50)])
-    assert not cache.count_kept([first]), 'the oldest part gave way'
+    cache.record_prompt([first, second])
+    assert cache.count_cached([first, second]) == 90
+    assert not cache.count_cached([PromptPart('x', 5), second])
+    cache.record_prompt([PromptPart('c', 50)])
+    assert not cache.count_cached([first]), 'the oldest part gave way'
 
 
 def choose_engine(options: list[EngineOption]) -> str | None:
@@ -101,42 +101,42 @@
 
 
 def test_trust_is_lost_at_once_and_comes_back_slowly() -> None:
-    trust = ServerTrust()
+    trust = ServerHealth()
     for tenth in range(4):
-        trust.note_outcome('s', tenth / 10, failed=True)
-    assert trust.measure('s', 0) < 1 / 3
-    assert trust.measure('s', 30) > 1 / 2
-    assert round(trust.measure('other', 4), 3) == 1
+        trust.record_outcome('s', tenth / 10, failed=True)
+    assert trust.get_score('s', 0) < 1 / 3
+    assert trust.get_score('s', 30) > 1 / 2
+    assert round(trust.get_score('other', 4), 3) == 1
 
 
 def test_loads_of_peers_count_while_they_are_fresh() -> None:
     peers = PeerLoads()
-    peers.take('p', (ServerLoad('s', 3, 700),), 10)
-    assert peers.measure('s', 11) == ServerLoad('s', 3, 700)
-    assert peers.measure('s', 13) == ServerLoad('s', 0, 0)
+    peers.merge('p', (ServerLoad('s', 3, 700),), 10)
+    assert peers.get_load('s', 11) == ServerLoad('s', 3, 700)
+    assert peers.get_load('s', 13) == ServerLoad('s', 0, 0)
 
 
 def test_own_loads_forget_what_has_ended() -> None:
     own = OwnLoads()
     own.begin('s', 500)
     own.begin('s', 100)
-    own.end_reading('s', 500)
+    own.end_prefill('s', 500)
     own.end('s')
-    assert own.measure('s') == ServerLoad('s', 1, 100)
-    own.end_reading('s', 100)
+    assert own.get_load('s') == ServerLoad('s', 1, 100)
+    own.end_prefill('s', 100)
     own.end('s')
-    assert not own.tell_all()
+    assert not own.export_all()
 
 
 def test_servers_that_are_gone_are_forgotten() -> None:
     # Nothing ever dropped what was known of a server; each start has a new id.
-    caches, trust = PromptCaches(), ServerTrust()
+    caches, trust = PromptCaches(), ServerHealth()
     for server in ('gone', 'there'):
-        caches.note_sent(server, [PromptPart('a', 60)], 100, 0)
-        trust.note_outcome(server, 0, failed=True)
+        caches.record_sent(server, [PromptPart('a', 60)], 100, 0)
+        trust.record_outcome(server, 0, failed=True)
     caches.keep_only(['there'])
     trust.keep_only(['there'])
-    assert not caches.count_kept('gone', [PromptPart('a', 60)])
-    assert caches.count_kept('there', [PromptPart('a', 60)]) == 60
-    assert trust.measure('gone', 0) == 1
-    assert trust.measure('there', 0) < 1
+    assert not caches.count_cached('gone', [PromptPart('a', 60)])
+    assert caches.count_cached('there', [PromptPart('a', 60)]) == 60
+    assert trust.get_score('gone', 0) == 1
+    assert trust.get_score('there', 0) < 1
--- a/tests/unit/test_upstreams.py
+++ b/tests/unit/test_upstreams.py
@@ -7,9 +7,9 @@
 from dykemast._internal.exceptions import HeldBackError
 from dykemast._internal.models.backend import BackendServer
 from dykemast._internal.models.deployment import Endpoint
-from dykemast._internal.models.forwarding import AnswerHead, Forwarding
+from dykemast._internal.models.forwarding import ResponseHead, ForwardingFields
 from dykemast._internal.platform.request_headers import decode_request
-from dykemast._internal.serving.sending.sending import Sending
+from dykemast._internal.serving.sending.upstream_request import UpstreamRequest
 from dykemast._internal.serving.sending.upstream import Upstreams
 from dykemast._internal.utils.clock import read_clock
 
@@ -39,15 +39,18 @@
 
 
 @asynccontextmanager
-async def listen() -> AsyncIterator[tuple[Listener, Sending]]:
+async def listen() -> AsyncIterator[tuple[Listener, UpstreamRequest]]:
     """Listen, and make a sending to the listener."""
     listener = Listener()
     server = await asyncio.start_server(listener.serve, HOST, 0)
     async with server:
-        yield listener, make_sending(server.sockets[0].getsockname()[1])
+        yield (
+            listener,
+            make_upstream_request(server.sockets[0].getsockname()[1]),
+        )
 
 
-def make_sending(port: int) -> Sending:
+def make_upstream_request(port: int) -> UpstreamRequest:
     scope = {
         'method': 'GET',
         'path': '/',
@@ -59,13 +62,13 @@
         'i-1', 'i-1', 'shop', Endpoint(HOST, port), 'north', 6, leaving=False
     )
     now = read_clock()
-    added = Forwarding('i-1', '', PATIENCE)
+    added = ForwardingFields('i-1', '', PATIENCE)
     request = decode_request(scope)
-    return Sending(server, request, b'', added, now + PATIENCE, now)
+    return UpstreamRequest(server, request, b'', added, now + PATIENCE, now)
 
 
 async def test_a_send_that_is_held_back_writes_nothing() -> None:
-    def hold_back(sending: Sending) -> None:
+    def hold_back(sending: UpstreamRequest) -> None:
         raise HeldBackError('on purpose')
 
     held = False
@@ -84,9 +87,9 @@
 
 
 async def test_the_head_of_an_answer_is_noted_for_its_server() -> None:
-    noted: dict[str, AnswerHead] = {}
+    noted: dict[str, ResponseHead] = {}
 
-    def note_head(server: BackendServer, head: AnswerHead) -> None:
+    def note_head(server: BackendServer, head: ResponseHead) -> None:
         noted[server.name] = head
 
     async with listen() as (listener, sending):
@@ -95,4 +98,4 @@
             assert answer.head.signed
         await upstreams.close()
     assert b'x-expect-instance: i-1' in listener.read.lower()
-    assert noted['i-1'].asks.leaving
+    assert noted['i-1'].backpressure.leaving
--- a/tools/fleet_mutations.py
+++ b/tools/fleet_mutations.py
@@ -78,8 +78,8 @@
         'believe relayed loads to be new',
         'loads are as old as they are',
         f'{_INTERNAL}/operations/peer_loads.py',
-        'self.take(one.instance, one.loads, now - one.age)',
-        'self.take(one.instance, one.loads, now)',
+        'self.merge(one.instance, one.loads, now - one.age)',
+        'self.merge(one.instance, one.loads, now)',
         'test_large_fleet',
     ),
     Mutation(
--- a/tools/serving_mutations.py
+++ b/tools/serving_mutations.py
@@ -11,7 +11,7 @@
     Mutation(
         'pass on what answers another request',
         'own answers',
-        f'{_INTERNAL}/serving/sending/upstream_answer.py',
+        f'{_INTERNAL}/serving/sending/upstream_response.py',
         'if head.request_id != request_id:',
         "if head.request_id == 'none':",
         'test_unsafe_requests_run_once',
@@ -19,7 +19,7 @@
     Mutation(
         'pass on an answer without a signature',
         'own answers',
-        f'{_INTERNAL}/serving/sending/upstream_answer.py',
+        f'{_INTERNAL}/serving/sending/upstream_response.py',
         'and not head.signed:',
         "and head.request_id == 'none':",
         'test_unsafe_requests_run_once',
@@ -147,7 +147,7 @@
     Mutation(
         'retry without bound',
         'retries stay in the allowance',
-        f'{_INTERNAL}/operations/retry_allowance.py',
+        f'{_INTERNAL}/operations/retry_budget.py',
         'if len(self._retries) + 1 > allowed:',
         'if allowed < 0:',
         'test_all_routers_together',
@@ -155,7 +155,7 @@
     Mutation(
         'keep the whole allowance at each router',
         'retries stay in the allowance',
-        f'{_INTERNAL}/operations/retry_allowance.py',
+        f'{_INTERNAL}/operations/retry_budget.py',
         'self._slack / max(1, routers)',
         'self._slack',
         'test_all_routers_together',
@@ -243,7 +243,7 @@
     Mutation(
         'take the next start of a server for the one before',
         'a server that starts again is another server',
-        f'{_INTERNAL}/operations/server_starts.py',
+        f'{_INTERNAL}/operations/server_incarnations.py',
         'if server.born is not None:',
         'if server.born is None:',
         'test_server_starts',
--- a/tools/simulation/choices.py
+++ b/tools/simulation/choices.py
@@ -7,7 +7,7 @@
 
 from dykemast._internal.models.fleet import Instance
 from dykemast._internal.operations.routing import rank_workers
-from dykemast._internal.operations.worker_load import Candidate, Ranking
+from dykemast._internal.operations.worker_load import Candidate, RankingContext
 from tools.simulation.workers import (
     PREFIXES,
     ROUTERS,
@@ -85,7 +85,7 @@
             )
             for worker, instance in enumerate(instances)
         ]
-        ranking = Ranking('north', prefix * _SPREAD, now, ROUTERS)
+        ranking = RankingContext('north', prefix * _SPREAD, now, ROUTERS)
         best = rank_workers(candidates, ranking, chance)[0]
         return instances.index(best.instance)
 
--- a/tools/slope_times.py
+++ b/tools/slope_times.py
@@ -102,7 +102,7 @@
 def time_routing() -> Iterator[Slope]:
     """Measure the choice of a worker."""
     candidates = worlds.make_candidates(WORKERS)
-    ranking = worker_load.Ranking('hall-1', COUNT, 2)
+    ranking = worker_load.RankingContext('hall-1', COUNT, 2)
     chance = random.Random(1)
 
     def rank() -> None:
--- a/tools/stop_mutations.py
+++ b/tools/stop_mutations.py
@@ -25,7 +25,7 @@
         'do not ask how long requests of a route take',
         _CUTS_NOTHING,
         f'{_INTERNAL}/serving/admission/in_progress.py',
-        'usual = board.usual_times.measure(ticket.route.name, ticket.started)',
+        'usual = board.usual_times.estimate_duration(ticket.route.name, ticket.started)',
         'usual = 0.0',
         _OUTLASTS,
     ),
