--- a/src/dykemast/_internal/controllers/instances.py
+++ b/src/dykemast/_internal/controllers/instances.py
@@ -12,7 +12,7 @@
 from dykemast._internal.blackboard import Blackboard
 from dykemast._internal.exceptions import PlatformError
 from dykemast._internal.network.platform import Platform
-from dykemast._internal.operations.instance_list import note_list
+from dykemast._internal.operations.instance_list import record_listing
 from dykemast._internal.utils.clock import read_clock
 
 _log = logbook.Logger('member')
@@ -70,4 +70,4 @@
             await self.announce()
         started = read_clock()
         listed = await self._platform.list_instances()
-        note_list(self._board.fleet, listed, started)
+        record_listing(self._board.fleet, listed, started)
--- a/src/dykemast/_internal/controllers/keepers.py
+++ b/src/dykemast/_internal/controllers/keepers.py
@@ -18,7 +18,7 @@
     GroupCommit,
     LedgerCallbacks,
 )
-from dykemast._internal.operations.peers import list_keepers
+from dykemast._internal.operations.peers import list_owners
 from dykemast._internal.operations.rendezvous import choose_owner
 from dykemast._internal.utils.clock import read_clock
 
@@ -124,7 +124,7 @@
         now = read_clock()
         keepers = [
             name
-            for name in list_keepers(self._board, now)
+            for name in list_owners(self._board, now)
             if self._avoided.get(name, 0) < now
         ]
         return choose_owner(ledger, keepers)
--- a/src/dykemast/_internal/controllers/news.py
+++ b/src/dykemast/_internal/controllers/news.py
@@ -15,7 +15,7 @@
 from dykemast._internal.network import peer_codec
 from dykemast._internal.network.peer_client import PeerClient
 from dykemast._internal.operations import peers
-from dykemast._internal.operations.news import choose_news, list_targets
+from dykemast._internal.operations.news import choose_cards, list_gossip_targets
 from dykemast._internal.utils.clock import read_clock
 
 _log = logbook.Logger('member')
@@ -56,7 +56,7 @@
         now = read_clock()
         for card in news.cards:
             if card.instance != self._board.settings['instance']:
-                peers.note_card(
+                peers.record_card(
                     fleet, peer_codec.unpack_card(card), card.beat, now
                 )
         listed = {instance.name for instance in fleet.instances}
@@ -65,7 +65,7 @@
 
     async def spread(self) -> None:
         """Exchange news with some peers, also those only listed yet."""
-        targets = list_targets(self._board)
+        targets = list_gossip_targets(self._board)
         count = min(NEWS_FANOUT, len(targets))
         await asyncio.gather(
             *(self._tell(card) for card in self._chance.sample(targets, count))
@@ -80,7 +80,7 @@
             _log.debug('member: {}', error)
             # Callers and keepers' duties go elsewhere at once; the next
             # heartbeat, from itself or by hearsay, brings it back.
-            peers.note_silence(self._board.fleet, card.instance)
+            peers.mark_unreachable(self._board.fleet, card.instance)
             return
         await self.take_news(news)
 
@@ -89,7 +89,7 @@
         fleet = self._board.fleet
         now = read_clock()
         mine = PeerView(peers.make_card(self._board), self._beat, now)
-        views = [mine, *choose_news(fleet, now, self._chance)]
+        views = [mine, *choose_cards(fleet, now, self._chance)]
         return peer_codec.peer_thrift.Gossip(
             cards=[peer_codec.pack_view(view) for view in views],
             leaving=sorted(fleet.leaving),
--- a/src/dykemast/_internal/controllers/reclaims.py
+++ b/src/dykemast/_internal/controllers/reclaims.py
@@ -73,7 +73,9 @@
         await shard.load()
         await self._read_incarnations(shard)
         lag = self._board.settings.get('list_lag', 0)
-        census = instance_list.take_census(self._board.fleet, lag, read_clock())
+        census = instance_list.collect_census(
+            self._board.fleet, lag, read_clock()
+        )
         plans = reclaim.plan_reclaims(
             shard.budgets,
             census,
--- a/src/dykemast/_internal/models/news.py
+++ b/src/dykemast/_internal/models/gossip.py
@@ -70,7 +70,7 @@
     digest: int = 0
 
 
-class Strain(NamedTuple):
+class RouterLoad(NamedTuple):
     """How much comes to a router, and how much it carries.
 
     :param capacity: requests a second that it carries well.
@@ -80,7 +80,7 @@
     capacity: float = 0
     rate: float = 0
 
-    def is_exceeded(self) -> bool:
+    def exceeds_capacity(self) -> bool:
         """Tell whether more comes than the router carries.
 
         :returns: whether it does.
@@ -88,7 +88,7 @@
         return self.rate > self.capacity
 
 
-class News(NamedTuple):
+class GossipMessage(NamedTuple):
     """What one router tells another.
 
     :param card: who tells it; its revision is the configuration's version.
@@ -98,12 +98,12 @@
     :param prompts: prompts sent since the last news.
     :param ages: seconds since a kind of objects was read whole, by kind.
     :param servers: what it knows of the list of backend servers.
-    :param strain: how much comes to it.
+    :param router_load: how much comes to it.
     :param absent: backend servers that were found absent.
     :param pauses: long pauses of streams that it saw lately.
     :param crashes: servers that ended, and under which requests.
     :param evacuations: halls that are being emptied.
-    :param budgets_away: whether its last write of a budget failed.
+    :param budget_write_failed: whether its last write of a budget failed.
     :param limits: that backend servers named.
     """
 
@@ -114,10 +114,10 @@
     prompts: tuple[SentPrompt, ...]
     ages: dict[str, float]
     servers: ListState
-    strain: Strain
+    router_load: RouterLoad
     absent: tuple[AbsentServer, ...]
     pauses: tuple[LongPauses, ...] = ()
     crashes: CrashGossip = CrashGossip()
     evacuations: Evacuations = Evacuations()
-    budgets_away: bool = False
+    budget_write_failed: bool = False
     limits: tuple[ServerLimit, ...] = ()
--- a/src/dykemast/_internal/models/routing_table.py
+++ b/src/dykemast/_internal/models/routing_table.py
@@ -56,7 +56,7 @@
     :param max_workers: backend servers that one request may be sent to.
     :param public: whether requests need no key.
     :param resumable: whether a broken stream may go on at another worker.
-    :param homes: regions that its requests stay in; None for all.
+    :param allowed_regions: regions that its requests stay in; None for all.
     """
 
     name: str
@@ -71,7 +71,7 @@
     max_workers: int
     public: bool
     resumable: bool
-    homes: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
 
 class Workspace(NamedTuple):
@@ -80,13 +80,13 @@
     :param name: its name.
     :param priority: 0 is the most urgent; None leaves it to the route.
     :param prepaid: tokens paid for; None when it has no budget.
-    :param homes: regions that its requests stay in; None for all.
+    :param allowed_regions: regions that its requests stay in; None for all.
     """
 
     name: str
     priority: int | None
     prepaid: int | None
-    homes: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
 
 class RoutingTable(NamedTuple):
@@ -124,16 +124,16 @@
             end = path.rfind(_SLASH, 0, end - 1) + 1
         return None
 
-    def list_homes(self, host: str) -> list[frozenset[str]]:
+    def list_allowed_regions(self, host: str) -> list[frozenset[str]]:
         """List the homes of a host's routes.
 
         :param host: host name that callers use.
         :returns: regions of each route that has homes.
         """
         return [
-            route.homes
+            route.allowed_regions
             for route in self.routes.values()
-            if route.homes and route.host == host
+            if route.allowed_regions and route.host == host
         ]
 
     def find_workspace(self, key: str) -> Workspace | None:
--- a/src/dykemast/_internal/network/platform_session.py
+++ b/src/dykemast/_internal/network/platform_session.py
@@ -15,7 +15,7 @@
 from dykemast._internal.exceptions import PlatformAwayError
 from dykemast._internal.network.late_reads import read_again_if_late
 from dykemast._internal.network.sockets import make_socket
-from dykemast._internal.operations.knowledge import LATE_READ
+from dykemast._internal.operations.freshness import LATE_READ_S
 
 #: Seconds to wait for an answer.
 CALL_TIMEOUT: Final = 2.0
@@ -82,7 +82,7 @@
         return read_again_if_late(
             lambda: self._fetch(method, path, body, wait),
             lambda: self._fetch_anew(path),
-            LATE_READ,
+            LATE_READ_S,
         )
 
     async def _fetch_anew(self, path: str) -> Answer:
@@ -91,7 +91,7 @@
                 socket_factory=make_socket, force_close=True
             )
             self._fresh = aiohttp.ClientSession(connector=connector)
-        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT - LATE_READ)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT - LATE_READ_S)
         call = self._fresh.get(self._base + path, timeout=timeout)
         async with call as response:
             return Answer(response.status, await response.read())
--- a/src/dykemast/_internal/operations/absent_servers.py
+++ b/src/dykemast/_internal/operations/absent_servers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from dykemast._internal.models.news import AbsentServer
+from dykemast._internal.models.gossip import AbsentServer
 
 
 class AbsentServers:
--- a/src/dykemast/_internal/operations/entry_choice.py
+++ b/src/dykemast/_internal/operations/entry_choice.py
@@ -4,7 +4,7 @@
 from typing import Final, NamedTuple
 
 from dykemast._internal.models.deployment import Endpoint
-from dykemast._internal.models.news import Strain
+from dykemast._internal.models.gossip import RouterLoad
 
 #: Part of the largest capacity from which on a router counts as strong.
 STRONG_SHARE: Final = 0.5
@@ -18,27 +18,27 @@
     """A router that callers could be told to use.
 
     :param address: where it answers callers.
-    :param strain: how much comes to it.
+    :param router_load: how much comes to it.
     :param region: where it stands.
     """
 
     address: Endpoint
-    strain: Strain
+    router_load: RouterLoad
     region: str = ''
 
 
 Sample = Callable[[Sequence[EntryOption], int], list[EntryOption]]
 
 
-def keep_homes(
+def filter_by_region(
     options: Sequence[EntryOption],
-    homes: Iterable[frozenset[str]],
+    allowed_regions: Iterable[frozenset[str]],
     region: str,
 ) -> Sequence[EntryOption]:
     """Keep the routers that all routes of a host may be asked at.
 
     :param options: routers that take requests.
-    :param homes: regions that the requests of each route stay in.
+    :param allowed_regions: regions that the requests of each route stay in.
     :param region: the caller's own, which is never too far.
     :returns: routers of these regions; all while these have none, as such a
         region is in trouble, and no router sends a request on to another.
@@ -46,7 +46,8 @@
     kept = [
         one
         for one in options
-        if one.region == region or all(one.region in home for home in homes)
+        if one.region == region
+        or all(one.region in home for home in allowed_regions)
     ]
     return kept or options
 
@@ -67,7 +68,9 @@
     :param sample: draws some of a sequence.
     :returns: the chosen ones.
     """
-    able = [one for one in options if not one.strain.is_exceeded()] or options
+    able = [
+        one for one in options if not one.router_load.exceeds_capacity()
+    ] or options
     least = STRONG_SHARE * max(map(_read_capacity, able), default=0)
     strong = [one for one in able if _read_capacity(one) >= least]
     chosen = sample(strong, min(len(strong), most))
@@ -76,7 +79,7 @@
 
 
 def _read_capacity(option: EntryOption) -> float:
-    return option.strain.capacity
+    return option.router_load.capacity
 
 
 def _draw_weak(
--- a/src/dykemast/_internal/operations/knowledge.py
+++ b/src/dykemast/_internal/operations/freshness.py
@@ -11,13 +11,13 @@
 #: Seconds without an answer from which on a read counts as late, and is made
 #: once more: the slowest store that users have seen takes 0.24 s, and a read
 #: that is due after 1.4 s has to end within 2.
-LATE_READ: Final = 0.3
+LATE_READ_S: Final = 0.3
 #: Turns of the event loop that one call takes over a new connection, the longer
 #: way: a loop that is late at each of them makes a read late by itself.
-TURNS_A_CALL: Final = 11
+LOOP_TURNS_PER_CALL: Final = 11
 
 
-class Knowledge(NamedTuple):
+class Freshness(NamedTuple):
     """What a router knows of one kind of objects, at one moment.
 
     :param age: seconds since it was known to be current.
@@ -31,19 +31,19 @@
     outdated: bool
     store_away: bool
 
-    def is_in_time(self) -> bool:
+    def is_within_bound(self) -> bool:
         """Tell whether no change that has to be in force can be missing.
 
         :returns: whether none can.
         """
         return self.age <= self.promised
 
-    def may_refuse_for_good(self) -> bool:
+    def may_refuse_permanently(self) -> bool:
         """Tell whether what it does not hold is known not to exist.
 
         :returns: whether it is.
         """
-        return self.is_in_time() and not self.outdated
+        return self.is_within_bound() and not self.outdated
 
     def may_serve(self) -> bool:
         """Tell whether requests may be served by it.
@@ -52,7 +52,7 @@
 
         :returns: whether they may.
         """
-        return self.is_in_time() or self.store_away
+        return self.is_within_bound() or self.store_away
 
 
 def is_read_late(waited: float, lateness: float) -> bool:
@@ -62,4 +62,4 @@
     :param lateness: of the event loop, in seconds.
     :returns: whether the store is late.
     """
-    return waited > LATE_READ + TURNS_A_CALL * lateness
+    return waited > LATE_READ_S + LOOP_TURNS_PER_CALL * lateness
--- a/src/dykemast/_internal/operations/instance_list.py
+++ b/src/dykemast/_internal/operations/instance_list.py
@@ -10,7 +10,7 @@
 ROUTER_ROLE: Final = 'router'
 
 
-def note_list(fleet: Fleet, listed: list[Instance], now: float) -> None:
+def record_listing(fleet: Fleet, listed: list[Instance], now: float) -> None:
     """Take in the platform's list.
 
     An instance that was listed and no longer is has been ended: ids are
@@ -36,7 +36,7 @@
     fleet.listed_at = now
 
 
-def take_census(fleet: Fleet, lag: float, now: float) -> KnownProcesses:
+def collect_census(fleet: Fleet, lag: float, now: float) -> KnownProcesses:
     """Gather what shows that processes have ended.
 
     :param fleet: section of the blackboard.
--- a/src/dykemast/_internal/operations/news.py
+++ b/src/dykemast/_internal/operations/news.py
@@ -12,7 +12,7 @@
 CARDS_IN_NEWS: Final = 8
 
 
-def choose_news(
+def choose_cards(
     fleet: Fleet,
     now: float,
     chance: random.Random,
@@ -32,7 +32,7 @@
     return chance.sample(fresh, min(CARDS_IN_NEWS, len(fresh)))
 
 
-def list_targets(board: Blackboard) -> list[PeerCard]:
+def list_gossip_targets(board: Blackboard) -> list[PeerCard]:
     """List the routers to exchange news with, also those only listed yet.
 
     :param board: the blackboard.
--- a/src/dykemast/_internal/operations/own_loads.py
+++ b/src/dykemast/_internal/operations/own_loads.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from dykemast._internal.models.news import ServerLoad
+from dykemast._internal.models.gossip import ServerLoad
 
 
 class OwnLoads:
--- a/src/dykemast/_internal/operations/peer_loads.py
+++ b/src/dykemast/_internal/operations/peer_loads.py
@@ -3,7 +3,7 @@
 import heapq
 from typing import Final, NamedTuple
 
-from dykemast._internal.models.news import RelayedLoads, ServerLoad
+from dykemast._internal.models.gossip import RelayedLoads, ServerLoad
 
 #: Routers whose requests are passed on in one round of news at most, and
 #: seconds since they told: with six exchanges in 0.2 s, what one tells
--- a/src/dykemast/_internal/operations/peers.py
+++ b/src/dykemast/_internal/operations/peers.py
@@ -31,7 +31,7 @@
     )
 
 
-def note_card(fleet: Fleet, card: PeerCard, beat: int, now: float) -> None:
+def record_card(fleet: Fleet, card: PeerCard, beat: int, now: float) -> None:
     """Take in news of a peer; older news changes nothing.
 
     :param fleet: section of the blackboard, changed in place.
@@ -48,7 +48,7 @@
     fleet.peers[card.instance] = PeerView(card, beat, now)
 
 
-def note_silence(fleet: Fleet, instance: str) -> None:
+def mark_unreachable(fleet: Fleet, instance: str) -> None:
     """Note that a peer did not answer; it counts as unreachable for now.
 
     :param fleet: section of the blackboard, changed in place.
@@ -92,7 +92,7 @@
     return [make_card(board), *list_peers(board.fleet, now)]
 
 
-def list_keepers(board: Blackboard, now: float) -> list[str]:
+def list_owners(board: Blackboard, now: float) -> list[str]:
     """List the routers over which duties are spread.
 
     :param board: the blackboard.
--- a/src/dykemast/_internal/operations/prompt_caches.py
+++ b/src/dykemast/_internal/operations/prompt_caches.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from dykemast._internal.models.caller_request import PromptPart
-from dykemast._internal.models.news import SentPrompt
+from dykemast._internal.models.gossip import SentPrompt
 from dykemast._internal.operations.rendezvous import choose_owner
 
 #: Prompts that are remembered to be told, and seconds for which they are: a
--- a/src/dykemast/_internal/path/candidates.py
+++ b/src/dykemast/_internal/path/candidates.py
@@ -2,7 +2,7 @@
 
 from dykemast._internal.models.fleet import LoadReport
 from dykemast._internal.models.requests import Order
-from dykemast._internal.operations.peers import list_keepers
+from dykemast._internal.operations.peers import list_owners
 from dykemast._internal.operations.routing import rank_workers
 from dykemast._internal.operations.worker_load import Candidate, RankingContext
 from dykemast._internal.path.jobs import Job
@@ -49,7 +49,7 @@
         parts.board.settings['hall'],
         order.prefix,
         now,
-        len(list_keepers(parts.board, now)),
+        len(list_owners(parts.board, now)),
     )
     return rank_workers(list_candidates(parts, order), ranking, parts.chance)
 
--- a/src/dykemast/_internal/path/entrances.py
+++ b/src/dykemast/_internal/path/entrances.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from dykemast._internal.models.requests import Code, Order, Refusal
-from dykemast._internal.operations.peers import list_keepers
+from dykemast._internal.operations.peers import list_owners
 from dykemast._internal.path.admission import find_configuration
 from dykemast._internal.path.candidates import list_candidates
 from dykemast._internal.path.gates import Gate, count_slots
@@ -43,7 +43,7 @@
         for service in services
         if service['name'] == order.service
     )
-    routers = list_keepers(parts.board, read_clock())
+    routers = list_owners(parts.board, read_clock())
     workers = list_candidates(parts, order)
     return count_slots(len(workers), slots, len(routers))
 
--- a/src/dykemast/_internal/platform/routes.py
+++ b/src/dykemast/_internal/platform/routes.py
@@ -46,7 +46,7 @@
         max_workers=int(fields.get('attempts', 1)),
         public=bool(fields.get('public')),
         resumable=bool(fields.get('resumable')),
-        homes=decode_homes(fields),
+        allowed_regions=decode_homes(fields),
     )
 
 
--- a/src/dykemast/_internal/serving/admission/gates.py
+++ b/src/dykemast/_internal/serving/admission/gates.py
@@ -2,18 +2,22 @@
 
 from typing import Any, Final
 
-from dykemast._internal.operations.knowledge import Knowledge
+from dykemast._internal.operations.freshness import Freshness
 from dykemast._internal.serving.knowledge.backends import (
     list_allowed,
     list_usable,
 )
-from dykemast._internal.serving.knowledge.backpressure import describe_holds
-from dykemast._internal.serving.knowledge.currency import (
-    know_configuration,
-    know_evacuations,
-    know_servers,
+from dykemast._internal.serving.knowledge.backpressure import (
+    describe_backpressure,
+)
+from dykemast._internal.serving.knowledge.freshness import (
+    get_configuration_freshness,
+    get_evacuations_freshness,
+    get_servers_freshness,
+)
+from dykemast._internal.serving.members.load_measurement import (
+    has_peer_with_capacity,
 )
-from dykemast._internal.serving.members.strain import has_free_peer
 from dykemast._internal.serving.requests.refusals import (
     RefusalCode,
     RefusedError,
@@ -56,7 +60,7 @@
     :param board: the blackboard.
     :raises RefusedError: when it is not.
     """
-    known = know_evacuations(board)
+    known = get_evacuations_freshness(board)
     if not known.may_serve():
         raise refuse_for_now(known, of='evacuations')
 
@@ -69,7 +73,7 @@
     :raises RefusedError: when none may.
     """
     service = ticket.service.name
-    if list_allowed(board, service, ticket.list_homes()):
+    if list_allowed(board, service, ticket.list_allowed_regions()):
         return
     listed = bool(list_usable(board, service))
     raise RefusedError(
@@ -89,13 +93,16 @@
     usable = list_usable(board, ticket.service.name)
     return {
         'usable': len(usable),
-        'held_back': describe_holds(board, usable),
+        'held_back': describe_backpressure(board, usable),
         'emptied': sorted(board.evacuations.halls),
-        'homes': [sorted(homes) for homes in ticket.list_homes()],
+        'homes': [
+            sorted(allowed_regions)
+            for allowed_regions in ticket.list_allowed_regions()
+        ],
     }
 
 
-def refuse_for_now(known: Knowledge, **details: Any) -> RefusedError:
+def refuse_for_now(known: Freshness, **details: Any) -> RefusedError:
     """Refuse what better knowledge might allow.
 
     :param known: what is known.
@@ -116,7 +123,7 @@
     now = read_clock()
     if not board.watch.is_overloaded(now):
         return
-    elsewhere = has_free_peer(board)
+    elsewhere = has_peer_with_capacity(board)
     details = {
         'late_s': round(board.watch.measure_lateness(now), 3),
         'inflight': board.inflight,
@@ -129,7 +136,10 @@
 def _check_current(board: ServingBoard) -> None:
     # A change that has to be in force may be missing although the store
     # answers; other routers have it.
-    for known in (know_configuration(board), know_servers(board)):
+    for known in (
+        get_configuration_freshness(board),
+        get_servers_freshness(board),
+    ):
         if not known.may_serve():
             raise refuse_for_now(known)
     check_evacuations(board)
--- a/src/dykemast/_internal/serving/admission/lookups.py
+++ b/src/dykemast/_internal/serving/admission/lookups.py
@@ -12,7 +12,9 @@
     check_gates,
     refuse_for_now,
 )
-from dykemast._internal.serving.knowledge.currency import know_configuration
+from dykemast._internal.serving.knowledge.freshness import (
+    get_configuration_freshness,
+)
 from dykemast._internal.serving.requests.refusals import (
     RefusalCode,
     RefusedError,
@@ -89,9 +91,9 @@
     details: dict[str, Any],
 ) -> RefusedError:
     """Refuse for good, or for now where a newer version may allow it."""
-    known = know_configuration(board)
-    if not known.may_refuse_for_good():
+    known = get_configuration_freshness(board)
+    if not known.may_refuse_permanently():
         return refuse_for_now(known, instead=code.name, **details)
-    version = board.count_version()
+    version = board.get_version()
     age = round(known.age, 3)
     return RefusedError(code, {'version': version, 'age_s': age, **details})
--- a/src/dykemast/_internal/serving/admission/trials.py
+++ b/src/dykemast/_internal/serving/admission/trials.py
@@ -13,7 +13,7 @@
 from dykemast._internal.operations.rendezvous import choose_owner
 from dykemast._internal.operations.request_identity import RequestIdentity
 from dykemast._internal.serving.knowledge.backends import list_usable
-from dykemast._internal.serving.state.board import ServingBoard, list_heard
+from dykemast._internal.serving.state.board import ServingBoard, list_live_peers
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds since an end in which one router alone has these turns; later all
@@ -64,7 +64,7 @@
     :param duty: its name.
     :returns: whether it has.
     """
-    heard = [peer.card.instance for peer in list_heard(board)]
+    heard = [peer.card.instance for peer in list_live_peers(board)]
     own = board.settings.name
     return choose_owner(duty, [own, *heard]) == own
 
--- a/src/dykemast/_internal/serving/choice/candidates.py
+++ b/src/dykemast/_internal/serving/choice/candidates.py
@@ -107,7 +107,7 @@
     parts.turns.record_sent(server.name, now)
     request = ticket.request.request_id
     if ticket.service.cold_rate and is_cold(parts.board, server.name, now):
-        parts.meters.cold_sends.inc({'service': server.service})
+        parts.metrics.cold_sends.inc({'service': server.service})
         _log(
             'send_to_cold',
             request=request,
@@ -116,7 +116,7 @@
         )
     limit = parts.board.backpressure.limits.find(server.name)
     if limit:
-        parts.meters.limited_sends.inc({'service': server.service})
+        parts.metrics.limited_sends.inc({'service': server.service})
         _log(
             'send_to_limited',
             request=request,
@@ -128,8 +128,8 @@
 
 def _list_present(parts: Parts, ticket: Ticket) -> list[BackendServer]:
     """List allowed servers, without those found absent if there are others."""
-    homes = ticket.list_homes()
-    allowed = list_allowed(parts.board, ticket.service.name, homes)
+    allowed_regions = ticket.list_allowed_regions()
+    allowed = list_allowed(parts.board, ticket.service.name, allowed_regions)
     now = read_clock()
     present = [
         one
--- a/src/dykemast/_internal/serving/choice/outcomes.py
+++ b/src/dykemast/_internal/serving/choice/outcomes.py
@@ -61,7 +61,7 @@
     """
     parts.trust.record_outcome(server.name, read_clock(), failed=failed)
     outcome = 'failed' if failed else 'done'
-    parts.meters.sends.inc({'service': server.service, 'outcome': outcome})
+    parts.metrics.sends.inc({'service': server.service, 'outcome': outcome})
 
 
 async def forget_gone(parts: Parts) -> None:
--- a/src/dykemast/_internal/serving/knowledge/ages.py
+++ b/src/dykemast/_internal/serving/knowledge/ages.py
@@ -4,27 +4,27 @@
 from dykemast._internal.utils.clock import read_clock
 
 
-def tell_ages(board: ServingBoard) -> dict[str, float]:
+def compute_ages(board: ServingBoard) -> dict[str, float]:
     """Tell peers how old the knowledge of each kind is.
 
     :param board: the blackboard.
     :returns: seconds by kind.
     """
     now = read_clock()
-    return {kind: now - at for kind, at in board.checked_at.items()}
+    return {kind: now - at for kind, at in board.last_read_at.items()}
 
 
-def measure_age(board: ServingBoard, kind: str) -> float:
+def compute_age(board: ServingBoard, kind: str) -> float:
     """Measure how old the knowledge of a kind may be.
 
     :param board: the blackboard.
     :param kind: the kind.
     :returns: seconds since it was last read whole, by whoever is heard.
     """
-    return read_clock() - board.checked_at.get(kind, 0)
+    return read_clock() - board.last_read_at.get(kind, 0)
 
 
-def note_age(
+def record_peer_age(
     board: ServingBoard,
     kind: str,
     age: float | None,
@@ -42,5 +42,5 @@
     :param asked_at: seconds at which the peer was asked.
     """
     if age is not None:
-        known = board.checked_at.get(kind, 0)
-        board.checked_at[kind] = max(known, asked_at - age)
+        known = board.last_read_at.get(kind, 0)
+        board.last_read_at[kind] = max(known, asked_at - age)
--- a/src/dykemast/_internal/serving/knowledge/backends.py
+++ b/src/dykemast/_internal/serving/knowledge/backends.py
@@ -15,28 +15,30 @@
 #: Seconds without a read of the list, by anyone who is heard, from which on
 #: the store counts as having been away: reads are at most 1.6 s apart, and
 #: entries lapse after 3.6 s without one.
-AWAY_GAP: Final = 2.5
+STORE_OUTAGE_GAP_S: Final = 2.5
 #: Seconds that an entry stays which lapsed meanwhile: users say that servers
 #: that live are listed again within about two.
-LAPSE_TIME: Final = 2.0
+EXPIRED_GRACE_S: Final = 2.0
 #: Seconds between two looks at these.
-LAPSE_PAUSE: Final = 0.25
+EXPIRED_CHECK_INTERVAL_S: Final = 0.25
 
 
-async def forget_lapsed(board: ServingBoard) -> None:
+async def remove_expired(board: ServingBoard) -> None:
     """Forget servers that are not listed again in time, for ever.
 
     :param board: the blackboard.
     """
     while True:
-        await asyncio.sleep(LAPSE_PAUSE)
+        await asyncio.sleep(EXPIRED_CHECK_INTERVAL_S)
         now = read_clock()
-        late = [name for name, until in board.lapsed.items() if until < now]
+        late = [
+            name for name, until in board.expired_until.items() if until < now
+        ]
         for name in late:
-            forget_server(board, name)
+            remove_server(board, name)
 
 
-def note_leaving(
+def mark_leaving(
     board: ServingBoard,
     names: Iterable[str],
     source: str,
@@ -70,13 +72,13 @@
 def list_allowed(
     board: ServingBoard,
     service: str,
-    homes: Iterable[frozenset[str]],
+    allowed_regions: Iterable[frozenset[str]],
 ) -> list[BackendServer]:
     """List the servers that may get a new request.
 
     :param board: the blackboard.
     :param service: the service.
-    :param homes: regions that the request stays in; each of them binds.
+    :param allowed_regions: regions that the request stays in; each of them binds.
     :returns: usable servers of halls that are not emptied and lie in them.
     """
     regions = board.settings.regions
@@ -84,11 +86,11 @@
         server
         for server in list_usable(board, service)
         if server.hall not in board.evacuations.halls
-        and all(regions.get(server.hall) in home for home in homes)
+        and all(regions.get(server.hall) in home for home in allowed_regions)
     ]
 
 
-def take_server(board: ServingBoard, server: BackendServer) -> None:
+def add_server(board: ServingBoard, server: BackendServer) -> None:
     """Take a server that is listed.
 
     What was known of an earlier start under its id is forgotten: it holds and
@@ -100,11 +102,11 @@
     earlier = board.server_starts.get(server.server_id)
     if earlier and earlier.name != server.name:
         _log('server_started_again', server=server.name, before=earlier.name)
-        forget_server(board, earlier.name)
+        remove_server(board, earlier.name)
     before = board.servers.get(server.name)
     board.servers[server.name] = server
     board.server_starts[server.server_id] = server
-    board.lapsed.pop(server.name, None)
+    board.expired_until.pop(server.name, None)
     if before is None:
         _log(
             'server_new',
@@ -115,33 +117,33 @@
             slots=server.slots,
         )
     if server.leaving:
-        note_leaving(board, [server.name], 'store')
+        mark_leaving(board, [server.name], 'store')
     if board.backpressure.delisted.relist(server):
-        note_leaving(board, [server.name], 'earlier word')
+        mark_leaving(board, [server.name], 'earlier word')
 
 
-def drop_server(board: ServingBoard, name: str) -> None:
+def handle_removed_entry(board: ServingBoard, name: str) -> None:
     """Forget a server whose entry is gone, or wait whether it comes back.
 
     :param board: the blackboard.
     :param name: the name of its start.
     """
     now = read_clock()
-    gap = now - board.checked_at.get(SERVER_KIND, 0)
-    if gap < AWAY_GAP or name in board.leaving:
-        forget_server(board, name)
+    gap = now - board.last_read_at.get(SERVER_KIND, 0)
+    if gap < STORE_OUTAGE_GAP_S or name in board.leaving:
+        remove_server(board, name)
         return
-    board.lapsed[name] = now + LAPSE_TIME
+    board.expired_until[name] = now + EXPIRED_GRACE_S
     _log('server_lapsed', server=name, not_read_s=round(gap, 3))
 
 
-def forget_server(board: ServingBoard, name: str) -> None:
+def remove_server(board: ServingBoard, name: str) -> None:
     """Forget a server.
 
     :param board: the blackboard.
     :param name: the name of its start.
     """
-    board.lapsed.pop(name, None)
+    board.expired_until.pop(name, None)
     board.cold_until.pop(name, None)
     board.backpressure.last.pop(name, None)
     gone = board.servers.pop(name, None)
--- a/src/dykemast/_internal/serving/knowledge/backpressure.py
+++ b/src/dykemast/_internal/serving/knowledge/backpressure.py
@@ -7,7 +7,7 @@
 from dykemast._internal.models.backend import BackendServer, Backpressure
 from dykemast._internal.models.forwarding import ResponseHead
 from dykemast._internal.operations.server_limits import NO_LIMIT
-from dykemast._internal.serving.knowledge.backends import note_leaving
+from dykemast._internal.serving.knowledge.backends import mark_leaving
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
@@ -18,7 +18,7 @@
 MAX_DESCRIBED: Final = 8
 
 
-def note_asks(
+def record_backpressure(
     board: ServingBoard,
     server: BackendServer,
     head: ResponseHead,
@@ -45,7 +45,7 @@
     _log_change(board, server, head)
 
 
-def describe_holds(
+def describe_backpressure(
     board: ServingBoard,
     servers: Iterable[BackendServer],
 ) -> dict[str, str]:
@@ -90,7 +90,7 @@
 
 def _note_leaving(board: ServingBoard, server: BackendServer) -> None:
     if server.server_id in board.server_starts:
-        note_leaving(board, [server.name], 'answer')
+        mark_leaving(board, [server.name], 'answer')
     else:
         # Its entry may come back.
         board.backpressure.delisted.record(server, read_clock())
--- a/src/dykemast/_internal/serving/knowledge/cold_servers.py
+++ b/src/dykemast/_internal/serving/knowledge/cold_servers.py
@@ -11,7 +11,7 @@
 RECHECK_TIME: Final = 2.5
 
 
-def note_entry(board: ServingBoard, server: BackendServer) -> None:
+def record_cold_time(board: ServingBoard, server: BackendServer) -> None:
     """Take over what a new entry says of its server.
 
     :param board: the blackboard.
@@ -22,7 +22,7 @@
         board.cold_until[server.name] = read_clock() + server.cold_left_s
 
 
-def note_back(board: ServingBoard, name: str) -> None:
+def mark_returned(board: ServingBoard, name: str) -> None:
     """Take a server that is back for cold until its entry says otherwise.
 
     :param board: the blackboard.
@@ -32,7 +32,7 @@
     board.cold_until[name] = max(until, board.cold_until.get(name, until))
 
 
-def note_hall_back(board: ServingBoard, hall: str) -> None:
+def mark_hall_returned(board: ServingBoard, hall: str) -> None:
     """Take note that the servers of a hall get requests again.
 
     :param board: the blackboard.
@@ -40,7 +40,7 @@
     """
     for server in board.servers.values():
         if server.hall == hall:
-            note_back(board, server.name)
+            mark_returned(board, server.name)
 
 
 def is_cold(board: ServingBoard, name: str, now: float) -> bool:
--- a/src/dykemast/_internal/serving/knowledge/configuration.py
+++ b/src/dykemast/_internal/serving/knowledge/configuration.py
@@ -10,8 +10,8 @@
 )
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.knowledge.follower import Follower
-from dykemast._internal.serving.knowledge.ages import measure_age
+from dykemast._internal.serving.knowledge.updates import Updater
+from dykemast._internal.serving.knowledge.ages import compute_age
 from dykemast._internal.utils.events import make_logger
 from dykemast._internal.utils.packing import pack, unpack
 
@@ -21,36 +21,36 @@
 WATCH_PAUSE: Final = 0.2
 
 
-def make_follower(board: ServingBoard) -> Follower:
+def make_updater(board: ServingBoard) -> Updater:
     """Make what follows the configuration object.
 
     :param board: the blackboard.
     :returns: the follower.
     """
 
-    def take_object(stored: StoreObject) -> None:
+    def apply_object(stored: StoreObject) -> None:
         if stored.name == CONFIGURATION_NAME:
-            take_configuration(board, stored, 'store')
+            apply_configuration(board, stored, 'store')
 
     def ignore(_: object) -> None:
         """Keep a configuration in force that is gone, or not usable now."""
 
-    def note_revision(revision: int) -> None:
+    def record_revision(revision: int) -> None:
         board.revisions[CONFIGURATION_KIND] = revision
 
-    return Follower(
+    return Updater(
         CONFIGURATION_KIND,
-        take_object,
+        apply_object,
         ignore,
         ignore,
         ignore,
-        note_revision,
+        record_revision,
         WATCH_PAUSE,
         told={},
     )
 
 
-def take_configuration(
+def apply_configuration(
     board: ServingBoard,
     stored: StoreObject,
     source: str,
@@ -63,25 +63,25 @@
     :raises NotUsableError: when it makes no sense.
     """
     table = decode_configuration(stored)
-    before = board.count_version()
+    before = board.get_version()
     if table.version <= before:
         return
     board.table = table
     board.table_changed.set()
-    board.table_raw = pack(stored)
+    board.encoded_table = pack(stored)
     _log(
         'configuration_in_force',
         version=table.version,
         before=before,
         revision=stored.revision,
         source=source,
-        known_s=round(measure_age(board, CONFIGURATION_KIND), 3),
+        known_s=round(compute_age(board, CONFIGURATION_KIND), 3),
         routes=len(table.routes),
         workspaces=len(table.workspaces),
     )
 
 
-def take_from_peer(board: ServingBoard, body: bytes, peer: str) -> None:
+def apply_peer_copy(board: ServingBoard, body: bytes, peer: str) -> None:
     """Put a peer's configuration in force if it is newer.
 
     One that makes no sense is logged; the one before stays in force.
@@ -97,4 +97,4 @@
 
 
 def _decode_and_take(board: ServingBoard, body: bytes, peer: str) -> None:
-    take_configuration(board, unpack(body, StoreObject), peer)
+    apply_configuration(board, unpack(body, StoreObject), peer)
--- a/src/dykemast/_internal/serving/knowledge/crash_records.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_records.py
@@ -8,9 +8,9 @@
 from dykemast._internal.platform.objects import ObjectStore
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.knowledge.crash_objects import RECORD_KIND
-from dykemast._internal.serving.knowledge.follower import (
-    Follower,
-    take_listing,
+from dykemast._internal.serving.knowledge.updates import (
+    Updater,
+    apply_listing,
 )
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.state.quarantines import (
@@ -30,19 +30,19 @@
 _SOURCE: Final = 'store'
 
 
-def make_follower(board: ServingBoard) -> Follower:
+def make_updater(board: ServingBoard) -> Updater:
     """Make what follows these records.
 
     :param board: the blackboard.
     :returns: the follower.
     """
 
-    def take_object(stored: StoreObject) -> None:
+    def apply_object(stored: StoreObject) -> None:
         record = crash_records.decode_record(stored.name, stored.spec)
         crash_records.apply_record(board.crashes, record, read_clock())
         review_crashes(board, _SOURCE)
 
-    def drop_object(name: str) -> None:
+    def remove_object(name: str) -> None:
         # An operator lifts a quarantine so, and routers clear up.
         board.crashes.kept.pop(name, None)
         clear_request(board, name, _SOURCE)
@@ -50,19 +50,19 @@
     def ignore_object(_: str) -> None:
         """Change nothing: what cannot be read says nothing of a request."""
 
-    def take_names(_: set[str]) -> None:
+    def remove_missing(_: set[str]) -> None:
         """Drop nothing: what was written meanwhile is not in a listing."""
 
-    def note_revision(revision: int) -> None:
+    def record_revision(revision: int) -> None:
         board.revisions[RECORD_KIND] = revision
 
-    return Follower(
+    return Updater(
         RECORD_KIND,
-        take_object,
-        take_names,
-        drop_object,
+        apply_object,
+        remove_missing,
+        remove_object,
         ignore_object,
-        note_revision,
+        record_revision,
         WATCH_BATCH_S,
         told={},
     )
@@ -71,7 +71,7 @@
 async def read_records(
     board: ServingBoard,
     store: ObjectStore,
-    follower: Follower,
+    updater: Updater,
 ) -> None:
     """Read what the store keeps whenever this router was away, for ever.
 
@@ -79,20 +79,20 @@
 
     :param board: the blackboard.
     :param store: the object store.
-    :param follower: takes the records.
+    :param updater: takes the records.
     """
     if board.settings.first_start:
         board.crashes.asked_at = read_clock()
     while True:
         if not is_crash_table_current(board):
-            await _read(board, store, follower)
+            await _read(board, store, updater)
         await asyncio.sleep(CHECK_INTERVAL_S)
 
 
 async def _read(
     board: ServingBoard,
     store: ObjectStore,
-    follower: Follower,
+    updater: Updater,
 ) -> None:
     asked_at = read_clock()
     try:
@@ -100,5 +100,5 @@
     except PlatformError as error:
         _log('crash_records_not_read', reason=str(error))
         return
-    take_listing(follower, listing)
+    apply_listing(updater, listing)
     board.crashes.asked_at = asked_at
--- a/src/dykemast/_internal/serving/knowledge/crash_writes.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_writes.py
@@ -15,7 +15,7 @@
     RECORD_KIND,
     write_record,
 )
-from dykemast._internal.serving.state.board import ServingBoard, list_heard
+from dykemast._internal.serving.state.board import ServingBoard, list_live_peers
 from dykemast._internal.serving.state.quarantines import review_crashes
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
@@ -53,7 +53,7 @@
 
 
 def _has_turn(board: ServingBoard, record: CrashRecord, age: float) -> bool:
-    heard = [peer.card.instance for peer in list_heard(board)]
+    heard = [peer.card.instance for peer in list_live_peers(board)]
     ranked = rank_owners(record.request, [board.settings.name, *heard])
     return ranked.index(board.settings.name) <= age / WRITER_TAKEOVER_S
 
--- a/src/dykemast/_internal/serving/knowledge/evacuations.py
+++ b/src/dykemast/_internal/serving/knowledge/evacuations.py
@@ -6,8 +6,8 @@
 from dykemast._internal.models.backend import Evacuations
 from dykemast._internal.platform.servers import EVACUATION_KIND
 from dykemast._internal.platform.store_types import StoreObject
-from dykemast._internal.serving.knowledge.cold_servers import note_hall_back
-from dykemast._internal.serving.knowledge.follower import Follower
+from dykemast._internal.serving.knowledge.cold_servers import mark_hall_returned
+from dykemast._internal.serving.knowledge.updates import Updater
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.events import make_logger
 
@@ -18,7 +18,7 @@
 _SOURCE: Final = 'store'
 
 
-def make_follower(board: ServingBoard) -> Follower:
+def make_updater(board: ServingBoard) -> Updater:
     """Make what follows these objects.
 
     :param board: the blackboard.
@@ -26,38 +26,38 @@
     """
     halls = set(board.evacuations.halls)
 
-    def take_object(stored: StoreObject) -> None:
+    def apply_object(stored: StoreObject) -> None:
         known = board.settings.regions
         if known and stored.name not in known:
             # Kept, it would stand in all news of all routers.
             raise NotUsableError('there is no such hall.')
         halls.add(stored.name)
 
-    def drop_object(name: str) -> None:
+    def remove_object(name: str) -> None:
         halls.discard(name)
 
-    def take_names(names: set[str]) -> None:
+    def remove_missing(names: set[str]) -> None:
         halls.intersection_update(names)
 
-    def note_revision(revision: int) -> None:
+    def record_revision(revision: int) -> None:
         board.revisions[EVACUATION_KIND] = revision
-        take_evacuations(
+        apply_evacuations(
             board, Evacuations(revision, frozenset(halls)), _SOURCE
         )
 
-    return Follower(
+    return Updater(
         EVACUATION_KIND,
-        take_object,
-        take_names,
-        drop_object,
-        drop_object,
-        note_revision,
+        apply_object,
+        remove_missing,
+        remove_object,
+        remove_object,
+        record_revision,
         WATCH_PAUSE,
         told={},
     )
 
 
-def take_evacuations(
+def apply_evacuations(
     board: ServingBoard,
     told: Evacuations,
     source: str,
@@ -73,7 +73,7 @@
         return
     board.evacuations = told
     for hall in before.halls - told.halls:
-        note_hall_back(board, hall)
+        mark_hall_returned(board, hall)
     if told.halls != before.halls:
         _log(
             'halls_emptied',
--- a/src/dykemast/_internal/serving/knowledge/server_entries.py
+++ b/src/dykemast/_internal/serving/knowledge/server_entries.py
@@ -4,20 +4,20 @@
 from collections.abc import Iterable
 from typing import Final
 
-from dykemast._internal.models.news import ListState
+from dykemast._internal.models.gossip import ListState
 from dykemast._internal.operations.server_incarnations import name_incarnation
 from dykemast._internal.platform.servers import SERVER_KIND, decode_server
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.knowledge.backends import (
-    drop_server,
-    forget_server,
-    take_server,
+    handle_removed_entry,
+    remove_server,
+    add_server,
 )
 from dykemast._internal.serving.knowledge.cold_servers import (
-    note_back,
-    note_entry,
+    mark_returned,
+    record_cold_time,
 )
-from dykemast._internal.serving.knowledge.follower import Follower
+from dykemast._internal.serving.knowledge.updates import Updater
 from dykemast._internal.serving.state.board import ServingBoard
 
 #: Seconds in which changes of servers gather; a leaving one may get requests
@@ -25,53 +25,53 @@
 WATCH_PAUSE: Final = 0.3
 
 
-def make_follower(board: ServingBoard) -> Follower:
+def make_updater(board: ServingBoard) -> Updater:
     """Make what follows the entries of backend servers.
 
     :param board: the blackboard.
     :returns: the follower.
     """
 
-    def take_object(stored: StoreObject) -> None:
+    def apply_object(stored: StoreObject) -> None:
         server = decode_server(stored)
         before = board.server_starts.get(
             stored.name
         ) or board.backpressure.delisted.find(stored.name)
         name = name_incarnation(server, stored.revision, before)
         named = server._replace(name=name)
-        is_back = name in board.lapsed
-        take_server(board, named)
+        is_back = name in board.expired_until
+        add_server(board, named)
         if _is_new(board, stored):
-            note_entry(board, named)
+            record_cold_time(board, named)
         if is_back:
-            note_back(board, name)
+            mark_returned(board, name)
         board.server_objects[stored.name] = stored
 
-    def drop_object(server_id: str) -> None:
+    def remove_object(server_id: str) -> None:
         if board.server_objects.pop(server_id, None):
-            drop_server(board, board.server_starts[server_id].name)
+            handle_removed_entry(board, board.server_starts[server_id].name)
 
-    def drop_unusable(server_id: str) -> None:
+    def remove_invalid(server_id: str) -> None:
         if board.server_objects.pop(server_id, None):
             # Something else stands where its entry was, so it did not lapse.
-            forget_server(board, board.server_starts[server_id].name)
+            remove_server(board, board.server_starts[server_id].name)
 
-    def take_names(names: set[str]) -> None:
+    def remove_missing(names: set[str]) -> None:
         for server_id in set(board.server_objects) - names:
-            drop_object(server_id)
+            remove_object(server_id)
 
-    def note_revision(revision: int) -> None:
+    def record_revision(revision: int) -> None:
         board.revisions[SERVER_KIND] = revision
         entries = board.server_objects.values()
         board.server_state = ListState(revision, _digest(entries))
 
-    return Follower(
+    return Updater(
         SERVER_KIND,
-        take_object,
-        take_names,
-        drop_object,
-        drop_unusable,
-        note_revision,
+        apply_object,
+        remove_missing,
+        remove_object,
+        remove_invalid,
+        record_revision,
         WATCH_PAUSE,
         told={},
     )
--- a/src/dykemast/_internal/serving/knowledge/server_lists.py
+++ b/src/dykemast/_internal/serving/knowledge/server_lists.py
@@ -1,11 +1,11 @@
 """Pass the list of backend servers from router to router."""
 
 from dykemast._internal.exceptions import NotUsableError
-from dykemast._internal.models.news import ListState
+from dykemast._internal.models.gossip import ListState
 from dykemast._internal.platform.store_types import Listing
-from dykemast._internal.serving.knowledge.server_entries import make_follower
+from dykemast._internal.serving.knowledge.server_entries import make_updater
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.knowledge.follower import take_listing
+from dykemast._internal.serving.knowledge.updates import apply_listing
 from dykemast._internal.utils.events import make_logger
 from dykemast._internal.utils.packing import pack, unpack
 
@@ -23,7 +23,7 @@
     return state.revision > own.revision and state.digest != own.digest
 
 
-def write_newer(board: ServingBoard, above: int) -> bytes:
+def encode_newer(board: ServingBoard, above: int) -> bytes:
     """Write the list for a peer.
 
     :param board: the blackboard.
@@ -37,7 +37,7 @@
     return pack(listing)
 
 
-def take_from_peer(board: ServingBoard, body: bytes, peer: str) -> None:
+def apply_peer_copy(board: ServingBoard, body: bytes, peer: str) -> None:
     """Take a peer's list if it is newer.
 
     One that makes no sense is logged; the list before stays in force.
@@ -52,7 +52,7 @@
         _log('servers_not_usable', peer=peer, reason=str(error))
         return
     if listing.revision > board.server_state.revision:
-        take_listing(make_follower(board), listing)
+        apply_listing(make_updater(board), listing)
         _log(
             'servers_from_peer',
             peer=peer,
--- a/src/dykemast/_internal/serving/knowledge/store_state.py
+++ b/src/dykemast/_internal/serving/knowledge/store_state.py
@@ -8,25 +8,27 @@
 _log = make_logger('store')
 
 
-def note_lost(board: ServingBoard, kind: str, error: PlatformError) -> None:
+def record_store_failure(
+    board: ServingBoard, kind: str, error: PlatformError
+) -> None:
     """Take note that a call failed.
 
     :param board: the blackboard.
     :param kind: the kind of objects that it was about.
     :param error: how it failed.
     """
-    if not board.store_away_since:
-        board.store_away_since = read_clock()
+    if not board.store_unavailable_since:
+        board.store_unavailable_since = read_clock()
         _log('dependency_lost', kind=kind, reason=str(error))
 
 
-def note_regained(board: ServingBoard, kind: str) -> None:
+def record_store_answer(board: ServingBoard, kind: str) -> None:
     """Take note that a call was answered.
 
     :param board: the blackboard.
     :param kind: the kind of objects that it was about.
     """
-    if board.store_away_since:
-        away = read_clock() - board.store_away_since
+    if board.store_unavailable_since:
+        away = read_clock() - board.store_unavailable_since
         _log('dependency_regained', kind=kind, away_s=round(away, 3))
-        board.store_away_since = 0
+        board.store_unavailable_since = 0
--- a/src/dykemast/_internal/serving/knowledge/followers.py
+++ b/src/dykemast/_internal/serving/knowledge/watches.py
@@ -12,15 +12,15 @@
 from dykemast._internal.exceptions import HistoryLostError, PlatformError
 from dykemast._internal.platform.objects import ObjectStore
 from dykemast._internal.operations.rendezvous import rank_owners
-from dykemast._internal.serving.state.board import ServingBoard, list_heard
-from dykemast._internal.serving.knowledge.follower import (
-    Follower,
-    take_changes,
-    take_listing,
+from dykemast._internal.serving.state.board import ServingBoard, list_live_peers
+from dykemast._internal.serving.knowledge.updates import (
+    Updater,
+    apply_changes,
+    apply_listing,
 )
 from dykemast._internal.serving.knowledge.store_state import (
-    note_lost,
-    note_regained,
+    record_store_failure,
+    record_store_answer,
 )
 from dykemast._internal.utils.events import make_logger
 
@@ -41,10 +41,10 @@
 MAX_PAUSE: Final = 0.5
 
 
-async def follow_kind(
+async def watch_kind(
     board: ServingBoard,
     store: ObjectStore,
-    follower: Follower,
+    updater: Updater,
 ) -> None:
     """Watch a kind whenever it is this router's turn, for ever.
 
@@ -53,23 +53,23 @@
 
     :param board: the blackboard.
     :param store: the object store.
-    :param follower: what to do with the objects.
+    :param updater: what to do with the objects.
     """
     pause = FIRST_PAUSE
     await _wait_for_peers(board)
     while True:
-        await _wait_for_turn(board, follower.kind)
+        await _wait_for_turn(board, updater.kind)
         try:
-            await _advance(board, store, follower)
+            await _advance(board, store, updater)
         except HistoryLostError as error:
-            _log('history_lost', kind=follower.kind, reason=str(error))
-            board.revisions.pop(follower.kind, None)
+            _log('history_lost', kind=updater.kind, reason=str(error))
+            board.revisions.pop(updater.kind, None)
         except PlatformError as error:
-            note_lost(board, follower.kind, error)
+            record_store_failure(board, updater.kind, error)
             await asyncio.sleep(pause * random.uniform(1, 2))
             pause = min(MAX_PAUSE, 2 * pause)
         else:
-            note_regained(board, follower.kind)
+            record_store_answer(board, updater.kind)
             pause = FIRST_PAUSE
 
 
@@ -81,18 +81,18 @@
 
 
 async def _wait_for_turn(board: ServingBoard, kind: str) -> None:
-    while not has_turn(board, kind):
+    while not is_watcher(board, kind):
         await asyncio.sleep(TURN_PAUSE)
 
 
-def has_turn(board: ServingBoard, kind: str) -> bool:
+def is_watcher(board: ServingBoard, kind: str) -> bool:
     """Tell whether this router is one of those that watch a kind.
 
     :param board: the blackboard.
     :param kind: the kind.
     :returns: whether it is.
     """
-    heard = [peer.card.instance for peer in list_heard(board)]
+    heard = [peer.card.instance for peer in list_live_peers(board)]
     names = [board.settings.name, *heard]
     watchers = rank_owners(kind, names)[:MAX_WATCHERS]
     return board.settings.name in watchers
@@ -101,14 +101,14 @@
 async def _advance(
     board: ServingBoard,
     store: ObjectStore,
-    follower: Follower,
+    updater: Updater,
 ) -> None:
-    revision = board.revisions.get(follower.kind)
+    revision = board.revisions.get(updater.kind)
     if revision is None:
-        take_listing(follower, await store.list_kind(follower.kind))
+        apply_listing(updater, await store.list_kind(updater.kind))
         return
-    changes = await store.watch(follower.kind, revision)
-    if changes.revision >= board.revisions.get(follower.kind, 0):
+    changes = await store.watch(updater.kind, revision)
+    if changes.revision >= board.revisions.get(updater.kind, 0):
         # Else a read told more while this watch was waiting.
-        take_changes(follower, changes)
-    await asyncio.sleep(follower.pause)
+        apply_changes(updater, changes)
+    await asyncio.sleep(updater.pause)
--- a/src/dykemast/_internal/serving/members/entry_ttl.py
+++ b/src/dykemast/_internal/serving/members/entry_ttl.py
@@ -9,7 +9,7 @@
 ENTRY_TTL: Final = 1.5
 
 
-def measure_entry_ttl(board: ServingBoard) -> float:
+def compute_entry_ttl(board: ServingBoard) -> float:
     """Tell for how long callers may keep an entry answer.
 
     :param board: the blackboard.
--- a/src/dykemast/_internal/serving/members/gossip.py
+++ b/src/dykemast/_internal/serving/members/gossip.py
@@ -10,34 +10,34 @@
 from dykemast._internal.serving.state.board import (
     Peer,
     ServingBoard,
-    note_silent,
+    mark_silent,
 )
 from dykemast._internal.serving.members.gossip_partners import (
     choose_partners,
     draw_pause,
 )
-from dykemast._internal.serving.members.peer_fetches import catch_up
-from dykemast._internal.serving.members.peer_news import PeerNews
+from dykemast._internal.serving.members.peer_fetches import fetch_newer
+from dykemast._internal.serving.members.gossip_messages import GossipMessages
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
 
 _log = make_logger('gossip')
 
 #: Seconds to wait for a peer: links take 1 ms, a busy process some ten.
-CALL_TIMEOUT: Final = 0.4
+CALL_TIMEOUT_S: Final = 0.4
 
 
 class Gossip:
     """Exchange of news between routers.
 
     :param board: the blackboard.
-    :param peer_news: writes and takes news.
+    :param messages: writes and takes news.
     """
 
-    def __init__(self, board: ServingBoard, peer_news: PeerNews) -> None:
+    def __init__(self, board: ServingBoard, messages: GossipMessages) -> None:
         """Know nobody yet."""
         self._board = board
-        self._peer_news = peer_news
+        self._peer_news = messages
         self._client = PeerClient(None, Fleet)
 
     async def call(
@@ -45,7 +45,7 @@
         card: PeerCard,
         method: str,
         *words: Any,
-        timeout: float = CALL_TIMEOUT,
+        timeout: float = CALL_TIMEOUT_S,
     ) -> Any:
         """Call a peer.
 
@@ -62,26 +62,26 @@
         """Close all connections to peers."""
         self._client.close()
 
-    async def talk(self, peer: Peer) -> None:
+    async def exchange_with(self, peer: Peer) -> None:
         """Exchange news with a peer; a failure is logged.
 
         :param peer: the peer.
         """
         asked_at = read_clock()
-        peer.met_at = asked_at
+        peer.last_exchange_at = asked_at
         try:
             body = await self.call(
-                peer.card, 'exchange', self._peer_news.write_news()
+                peer.card, 'exchange', self._peer_news.build_message()
             )
         except PeerError as error:
             _note_lost(self._board, peer, error)
             return
-        news = self._peer_news.take_news(body)
-        if news:
-            await catch_up(self.call, self._board, news, asked_at)
+        message = self._peer_news.apply_message(body)
+        if message:
+            await fetch_newer(self.call, self._board, message, asked_at)
 
 
-async def spread_news(board: ServingBoard, gossip: Gossip) -> None:
+async def run_gossip(board: ServingBoard, gossip: Gossip) -> None:
     """Exchange news with peers, for ever.
 
     A round does not wait for the one before: a peer that is gone answers
@@ -94,20 +94,20 @@
     async with asyncio.TaskGroup() as talks:
         while True:
             for peer in choose_partners(board):
-                talks.create_task(gossip.talk(peer))
+                talks.create_task(gossip.exchange_with(peer))
             await asyncio.sleep(draw_pause())
 
 
-async def tell_all(board: ServingBoard, gossip: Gossip) -> None:
+async def notify_all_peers(board: ServingBoard, gossip: Gossip) -> None:
     """Tell every peer the news now.
 
     :param board: the blackboard.
     :param gossip: exchanges news.
     """
     peers = tuple(board.peers.values())
-    await asyncio.gather(*(gossip.talk(peer) for peer in peers))
+    await asyncio.gather(*(gossip.exchange_with(peer) for peer in peers))
 
 
 def _note_lost(board: ServingBoard, peer: Peer, error: PeerError) -> None:
-    if note_silent(board, peer):
+    if mark_silent(board, peer):
         _log('peer_lost', peer=peer.card.instance, reason=str(error))
--- a/src/dykemast/_internal/serving/members/gossip_partners.py
+++ b/src/dykemast/_internal/serving/members/gossip_partners.py
@@ -4,12 +4,12 @@
 from typing import Final
 
 from dykemast._internal.serving.state.board import Peer, ServingBoard, is_silent
-from dykemast._internal.serving.state.fleet_size import is_large
+from dykemast._internal.serving.state.fleet_size import is_large_fleet
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds between two rounds of news, and how far a round may be off.
-ROUND_PAUSE: Final = 0.2
-ROUND_JITTER: Final = 0.04
+ROUND_INTERVAL_S: Final = 0.2
+ROUND_JITTER_S: Final = 0.04
 #: Peers told in one round at most, so that the work of a router stays the
 #: same however many there are. In a large fleet, where peers pass on what
 #: they heard, three are enough; each takes processor time here and there.
@@ -22,7 +22,7 @@
 
     :returns: seconds.
     """
-    return ROUND_PAUSE + random.uniform(-ROUND_JITTER, ROUND_JITTER)
+    return ROUND_INTERVAL_S + random.uniform(-ROUND_JITTER_S, ROUND_JITTER_S)
 
 
 def choose_partners(board: ServingBoard) -> list[Peer]:
@@ -33,9 +33,11 @@
     :param board: the blackboard.
     :returns: the peers.
     """
-    count = PEERS_IN_LARGE_FLEET if is_large(board) else PEERS_A_ROUND
-    limit = read_clock() - ROUND_PAUSE
-    due = [peer for peer in board.peers.values() if peer.met_at < limit]
+    count = PEERS_IN_LARGE_FLEET if is_large_fleet(board) else PEERS_A_ROUND
+    limit = read_clock() - ROUND_INTERVAL_S
+    due = [
+        peer for peer in board.peers.values() if peer.last_exchange_at < limit
+    ]
     due.sort(key=_read_meeting)
     heard = [peer for peer in due if not is_silent(board, peer)]
     tried = _draw_silent(board, due, count - len(heard))
@@ -54,4 +56,4 @@
 
 
 def _read_meeting(peer: Peer) -> float:
-    return peer.met_at
+    return peer.last_exchange_at
--- a/src/dykemast/_internal/serving/members/strain.py
+++ b/src/dykemast/_internal/serving/members/load_measurement.py
@@ -2,8 +2,8 @@
 
 from typing import Final
 
-from dykemast._internal.models.news import Strain
-from dykemast._internal.serving.state.board import ServingBoard, list_heard
+from dykemast._internal.models.gossip import RouterLoad
+from dykemast._internal.serving.state.board import ServingBoard, list_live_peers
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds of a common core that a request takes, its events included.
@@ -18,7 +18,7 @@
 OVERLOAD_FACTOR: Final = 1.5
 
 
-def measure_strain(board: ServingBoard) -> Strain:
+def measure_router_load(board: ServingBoard) -> RouterLoad:
     """Measure what comes to this router.
 
     :param board: the blackboard.
@@ -33,19 +33,22 @@
         # What waits unread is not counted yet, and the estimate of what a
         # request takes is too low for what comes.
         rate = max(rate, OVERLOAD_FACTOR * carried)
-    return Strain(round(carried, 1), round(rate, 1))
+    return RouterLoad(round(carried, 1), round(rate, 1))
 
 
-def has_free_peer(board: ServingBoard) -> bool:
+def has_peer_with_capacity(board: ServingBoard) -> bool:
     """Tell whether another router that is heard gets no more than it carries.
 
     :param board: the blackboard.
     :returns: whether there is one.
     """
-    return any(not peer.strain.is_exceeded() for peer in list_heard(board))
+    return any(
+        not peer.router_load.exceeds_capacity()
+        for peer in list_live_peers(board)
+    )
 
 
-def sheds_callers(board: ServingBoard) -> bool:
+def should_close_connections(board: ServingBoard) -> bool:
     """Tell whether callers should leave the connections they have here.
 
     They choose an address when they open a connection, and those that send
@@ -57,6 +60,6 @@
     """
     if board.stopping:
         return True
-    if not measure_strain(board).is_exceeded():
+    if not measure_router_load(board).exceeds_capacity():
         return False
-    return has_free_peer(board)
+    return has_peer_with_capacity(board)
--- a/src/dykemast/_internal/serving/members/members.py
+++ b/src/dykemast/_internal/serving/members/members.py
@@ -11,7 +11,7 @@
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.members.own_entry import (
     MEMBER_KIND,
-    list_self,
+    register_self,
 )
 from dykemast._internal.serving.state.board import Peer, ServingBoard
 from dykemast._internal.utils.events import make_logger
@@ -19,9 +19,9 @@
 _log = make_logger('members')
 
 #: Seconds between two tries to list this router.
-RETRY_PAUSE: Final = 0.5
+RETRY_PAUSE_S: Final = 0.5
 #: Seconds until all routers that start together are listed.
-START_PAUSE: Final = 1.5
+START_PAUSE_S: Final = 1.5
 #: Seconds between two reads of the list later on: each is a priced call, and
 #: silence of a router that left is noticed without it.
 READ_PAUSE: Final = 15.0
@@ -30,7 +30,7 @@
 READ_PAUSE_PER_PEER: Final = 2.0
 
 
-async def keep_listed(board: ServingBoard, store: ObjectStore) -> None:
+async def keep_registered(board: ServingBoard, store: ObjectStore) -> None:
     """List this router in the store, and read who else is listed, for ever.
 
     Whoever starts later meets all others by news; so reading is needed for
@@ -42,20 +42,20 @@
     await _list_in_time(board, store)
     if board.settings.first_start:
         # Later on those that start together find each other's old entries.
-        await _try(read_peers(board, store))
-        await asyncio.sleep(START_PAUSE)
+        await _try(refresh_peers(board, store))
+        await asyncio.sleep(START_PAUSE_S)
     while True:
-        await _try(read_peers(board, store))
+        await _try(refresh_peers(board, store))
         per_peer = READ_PAUSE_PER_PEER * len(board.peers)
         await asyncio.sleep(max(READ_PAUSE, per_peer))
 
 
 async def _list_in_time(board: ServingBoard, store: ObjectStore) -> None:
-    while not board.stopping and not await _try(list_self(board, store)):
-        await asyncio.sleep(RETRY_PAUSE)
+    while not board.stopping and not await _try(register_self(board, store)):
+        await asyncio.sleep(RETRY_PAUSE_S)
 
 
-def meet_peer(board: ServingBoard, card: PeerCard) -> None:
+def record_peer(board: ServingBoard, card: PeerCard) -> None:
     """Take note of another router, or of its new process.
 
     :param board: the blackboard.
@@ -73,7 +73,7 @@
         )
 
 
-async def read_peers(board: ServingBoard, store: ObjectStore) -> None:
+async def refresh_peers(board: ServingBoard, store: ObjectStore) -> None:
     """Read which routers are listed, and forget those that are not.
 
     :param board: the blackboard.
@@ -87,7 +87,7 @@
     listed = {one.name for one in listing.found}
     if board.settings.name not in listed and not board.stopping:
         # A removal by the process before may take effect late.
-        await list_self(board, store)
+        await register_self(board, store)
     for name in set(board.peers) - listed:
         board.peers.pop(name)
         _log('peer_gone', peer=name)
@@ -95,7 +95,7 @@
 
 def _meet_listed(board: ServingBoard, stored: StoreObject) -> None:
     try:
-        meet_peer(board, decode_card(stored))
+        record_peer(board, decode_card(stored))
     except NotUsableError as error:
         _log('member_not_usable', name=stored.name, reason=str(error))
 
@@ -109,7 +109,7 @@
     return True
 
 
-async def unlist_self(board: ServingBoard, store: ObjectStore) -> None:
+async def deregister_self(board: ServingBoard, store: ObjectStore) -> None:
     """Remove this router's own entry, however long the store is away.
 
     :param board: the blackboard.
@@ -117,4 +117,4 @@
     """
     # Until then, peers pass over a router that does not answer.
     while not await _try(store.delete(MEMBER_KIND, board.settings.name)):
-        await asyncio.sleep(RETRY_PAUSE)
+        await asyncio.sleep(RETRY_PAUSE_S)
--- a/src/dykemast/_internal/serving/members/own_entry.py
+++ b/src/dykemast/_internal/serving/members/own_entry.py
@@ -16,7 +16,7 @@
 MEMBER_KIND: Final = 'dykemast-routers'
 
 
-async def list_self(board: ServingBoard, store: ObjectStore) -> None:
+async def register_self(board: ServingBoard, store: ObjectStore) -> None:
     """Write this router's own entry.
 
     There mostly is the entry of the process before on this instance, unless
--- a/src/dykemast/_internal/serving/members/peer_calls.py
+++ b/src/dykemast/_internal/serving/members/peer_calls.py
@@ -7,7 +7,7 @@
 from dykemast._internal.network.thrift_server import listen
 from dykemast._internal.serving.knowledge import server_lists
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.members.peer_news import PeerNews
+from dykemast._internal.serving.members.gossip_messages import GossipMessages
 
 
 class TokenCalls(NamedTuple):
@@ -34,26 +34,26 @@
 
 async def open_peer_server(
     board: ServingBoard,
-    peer_news: PeerNews,
+    messages: GossipMessages,
     token_calls: TokenCalls,
 ) -> Any:
     """Listen for other routers.
 
     :param board: the blackboard.
-    :param peer_news: writes and takes news.
+    :param messages: writes and takes news.
     :param token_calls: lend and take tokens.
     :returns: the listening server, to be closed by its ``close``.
     """
 
     async def exchange(body: bytes) -> bytes:
-        peer_news.take_news(body)
-        return peer_news.write_news()
+        messages.apply_message(body)
+        return messages.build_message()
 
     async def newer_configuration(above: int) -> bytes:
-        return board.table_raw if board.count_version() > above else b''
+        return board.encoded_table if board.get_version() > above else b''
 
     async def newer_servers(above: int) -> bytes:
-        return server_lists.write_newer(board, above)
+        return server_lists.encode_newer(board, above)
 
     endpoint = board.settings.listeners.peer
     calls = _Calls(exchange, *token_calls, newer_configuration, newer_servers)
--- a/src/dykemast/_internal/serving/members/peer_fetches.py
+++ b/src/dykemast/_internal/serving/members/peer_fetches.py
@@ -5,7 +5,7 @@
 
 from dykemast._internal.exceptions import PeerError
 from dykemast._internal.models.fleet import PeerCard
-from dykemast._internal.models.news import News
+from dykemast._internal.models.gossip import GossipMessage
 from dykemast._internal.platform.configuration import CONFIGURATION_KIND
 from dykemast._internal.platform.servers import EVACUATION_KIND, SERVER_KIND
 from dykemast._internal.serving.knowledge import (
@@ -26,52 +26,56 @@
 Call = Callable[..., Awaitable[bytes]]
 
 
-async def catch_up(
+async def fetch_newer(
     call: Call,
     board: ServingBoard,
-    news: News,
+    message: GossipMessage,
     asked_at: float,
 ) -> None:
     """Fetch what a peer knows and this router does not.
 
     :param call: calls a peer.
     :param board: the blackboard.
-    :param news: the peer's answer.
+    :param message: the peer's answer.
     :param asked_at: seconds at which it was asked.
     """
-    card = news.card
-    if card.revision > board.count_version():
+    card = message.card
+    if card.revision > board.get_version():
         body = await _fetch(
-            call, card, 'newer_configuration', board.count_version()
+            call, card, 'newer_configuration', board.get_version()
         )
         if body:
-            configuration.take_from_peer(board, body, card.instance)
-    if server_lists.is_behind(board, news.servers):
+            configuration.apply_peer_copy(board, body, card.instance)
+    if server_lists.is_behind(board, message.servers):
         known = board.server_state.revision
         body = await _fetch(call, card, 'newer_servers', known)
         if body:
-            server_lists.take_from_peer(board, body, card.instance)
-    note_ages(board, news, asked_at)
-    record_crash_answer(board, news.crashes, asked_at)
+            server_lists.apply_peer_copy(board, body, card.instance)
+    record_peer_ages(board, message, asked_at)
+    record_crash_answer(board, message.crashes, asked_at)
 
 
-def note_ages(board: ServingBoard, news: News, asked_at: float) -> None:
+def record_peer_ages(
+    board: ServingBoard, message: GossipMessage, asked_at: float
+) -> None:
     """Take over when a peer read what this router knows as well.
 
     :param board: the blackboard.
-    :param news: the peer's answer.
+    :param message: the peer's answer.
     :param asked_at: seconds at which it was asked.
     """
-    told = news.ages
-    if board.count_version() >= news.card.revision:
+    told = message.ages
+    if board.get_version() >= message.card.revision:
         # Else the newer configuration has to be fetched first.
         kind = CONFIGURATION_KIND
-        ages.note_age(board, kind, told.get(kind), asked_at)
-    if board.server_state.digest == news.servers.digest:
-        ages.note_age(board, SERVER_KIND, told.get(SERVER_KIND), asked_at)
+        ages.record_peer_age(board, kind, told.get(kind), asked_at)
+    if board.server_state.digest == message.servers.digest:
+        ages.record_peer_age(
+            board, SERVER_KIND, told.get(SERVER_KIND), asked_at
+        )
     # Which halls are emptied stands in the news, and is known by now.
     kind = EVACUATION_KIND
-    ages.note_age(board, kind, told.get(kind), asked_at)
+    ages.record_peer_age(board, kind, told.get(kind), asked_at)
 
 
 async def _fetch(call: Call, card: PeerCard, method: str, above: int) -> bytes:
--- a/src/dykemast/_internal/serving/members/peer_links.py
+++ b/src/dykemast/_internal/serving/members/peer_links.py
@@ -5,17 +5,17 @@
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.members.gossip import Gossip
 from dykemast._internal.serving.state.loads import Loads
-from dykemast._internal.serving.members.peer_news import PeerNews
+from dykemast._internal.serving.members.gossip_messages import GossipMessages
 
 
 class PeerLinks(NamedTuple):
     """Parts that connect a router with others.
 
-    :param peer_news: news of this router.
+    :param messages: news of this router.
     :param gossip: calls to other routers.
     """
 
-    peer_news: PeerNews
+    messages: GossipMessages
     gossip: Gossip
 
 
@@ -26,5 +26,5 @@
     :param loads: requests at backend servers.
     :returns: the parts.
     """
-    peer_news = PeerNews(board, loads)
-    return PeerLinks(peer_news, Gossip(board, peer_news))
+    messages = GossipMessages(board, loads)
+    return PeerLinks(messages, Gossip(board, messages))
--- a/src/dykemast/_internal/serving/parts.py
+++ b/src/dykemast/_internal/serving/parts.py
@@ -6,11 +6,13 @@
 from dykemast._internal.operations.shared_rate_limiter import SharedRateLimiter
 from dykemast._internal.operations.retry_budget import RetryBudget
 from dykemast._internal.operations.server_health import ServerHealth
-from dykemast._internal.serving.knowledge.backpressure import note_asks
+from dykemast._internal.serving.knowledge.backpressure import (
+    record_backpressure,
+)
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.tokens.budgets import Budgets
 from dykemast._internal.serving.state.loads import Loads
-from dykemast._internal.serving.state.meters import Meters, make_meters
+from dykemast._internal.serving.state.monitoring import Metrics, make_metrics
 from dykemast._internal.serving.sending import send_checks, upstream
 from dykemast._internal.utils.clock import read_clock
 
@@ -25,7 +27,7 @@
     :param retries: allowance for second sends by service.
     :param upstreams: connections to backend servers.
     :param turns: what is sent to servers that bear a rate.
-    :param meters: counters and times.
+    :param metrics: counters and times.
     """
 
     board: ServingBoard
@@ -35,7 +37,7 @@
     retries: dict[str, RetryBudget]
     upstreams: upstream.Upstreams
     turns: SharedRateLimiter
-    meters: Meters
+    metrics: Metrics
 
 
 def make_parts(board: ServingBoard, budgets: Budgets, loads: Loads) -> Parts:
@@ -53,8 +55,9 @@
         trust=ServerHealth(),
         retries={},
         upstreams=upstream.Upstreams(
-            partial(send_checks.check_send, board), partial(note_asks, board)
+            partial(send_checks.check_send, board),
+            partial(record_backpressure, board),
         ),
         turns=SharedRateLimiter(board.settings.name, read_clock()),
-        meters=make_meters(),
+        metrics=make_metrics(),
     )
--- a/src/dykemast/_internal/serving/process/application.py
+++ b/src/dykemast/_internal/serving/process/application.py
@@ -10,7 +10,9 @@
 from dykemast._internal.serving.process import records
 from dykemast._internal.serving.relay import dispatch, exchange
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.members.strain import sheds_callers
+from dykemast._internal.serving.members.load_measurement import (
+    should_close_connections,
+)
 from dykemast._internal.serving.requests.refusals import (
     RefusalCode,
     RefusedError,
@@ -38,7 +40,9 @@
     """
 
     async def application(scope: Any, receive: Receive, send: Send) -> None:
-        responder = Responder(send, lambda: sheds_callers(parts.board))
+        responder = Responder(
+            send, lambda: should_close_connections(parts.board)
+        )
         started = read_clock()
         parts.board.inflight += 1
         parts.board.arrivals.record(1, started)
--- a/src/dykemast/_internal/serving/process/clock_watch.py
+++ b/src/dykemast/_internal/serving/process/clock_watch.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from dykemast._internal.operations.loop_watch import WATCH_PAUSE
-from dykemast._internal.serving.knowledge.ages import tell_ages
+from dykemast._internal.serving.knowledge.ages import compute_ages
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import (
     COUNTS_SUSPENSION,
@@ -53,7 +53,7 @@
     asleep = read_asleep()
     slept = asleep - before
     if slept > MIN_SUSPENSION:
-        ages = tell_ages(board)
+        ages = compute_ages(board)
         _log(
             'suspended',
             asleep_s=round(slept, 3),
@@ -64,7 +64,7 @@
 
 
 def _tell_late(board: ServingBoard, lateness: float) -> None:
-    ages = tell_ages(board)
+    ages = compute_ages(board)
     _log(
         'loop_late',
         late_s=round(lateness, 3),
--- a/src/dykemast/_internal/serving/process/crash_loops.py
+++ b/src/dykemast/_internal/serving/process/crash_loops.py
@@ -3,7 +3,7 @@
 from functools import partial
 
 from dykemast._internal.serving.knowledge import crash_records, crash_writes
-from dykemast._internal.serving.knowledge.followers import follow_kind
+from dykemast._internal.serving.knowledge.watches import watch_kind
 from dykemast._internal.serving.process.assembly import Assembly
 from dykemast._internal.serving.relay.crash_watch import watch_breaks
 from dykemast._internal.utils.supervision import Loop
@@ -17,8 +17,8 @@
     """
     board = assembly.parts.board
     store = assembly.upkeep.store
-    records = crash_records.make_follower(board)
-    follow = partial(follow_kind, board, store, records)
+    records = crash_records.make_updater(board)
+    follow = partial(watch_kind, board, store, records)
     return [
         Loop(
             'read_records',
--- a/src/dykemast/_internal/serving/process/description.py
+++ b/src/dykemast/_internal/serving/process/description.py
@@ -1,9 +1,9 @@
 """State of this router in figures, for its log and its metrics."""
 
-from dykemast._internal.serving.knowledge.ages import tell_ages
+from dykemast._internal.serving.knowledge.ages import compute_ages
 from dykemast._internal.serving.knowledge.cold_servers import is_cold
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.state.board import ServingBoard, list_heard
+from dykemast._internal.serving.state.board import ServingBoard, list_live_peers
 from dykemast._internal.utils.clock import read_clock
 
 
@@ -15,12 +15,12 @@
     """
     board = parts.board
     now = read_clock()
-    away = board.store_away_since
+    away = board.store_unavailable_since
     return {
         'inflight': board.inflight,
-        'configuration': board.count_version(),
+        'configuration': board.get_version(),
         'servers': len(board.servers),
-        'peers_heard': sum(1 for _ in list_heard(board)),
+        'peers_heard': sum(1 for _ in list_live_peers(board)),
         'store_away_s': round(now - away, 1) if away else 0,
         'halls_emptied': len(board.evacuations.halls),
         'servers_cold': sum(
@@ -46,5 +46,5 @@
 
 def _describe_ages(board: ServingBoard) -> dict[str, float]:
     """Describe how old the knowledge of each kind in the store may be."""
-    ages = tell_ages(board)
+    ages = compute_ages(board)
     return {f'age_s_{kind}': round(age, 3) for kind, age in ages.items()}
--- a/src/dykemast/_internal/serving/process/entry.py
+++ b/src/dykemast/_internal/serving/process/entry.py
@@ -7,21 +7,23 @@
 from dykemast._internal.operations.entry_choice import (
     EntryOption,
     choose_entries,
-    keep_homes,
+    filter_by_region,
 )
 from dykemast._internal.platform.entry_messages import (
     EntryQuestion,
     decode_entry_question,
     encode_entry,
 )
-from dykemast._internal.serving.knowledge.currency import know_evacuations
+from dykemast._internal.serving.knowledge.freshness import (
+    get_evacuations_freshness,
+)
 from dykemast._internal.serving.state.board import (
     Peer,
     ServingBoard,
-    list_heard,
+    list_live_peers,
 )
-from dykemast._internal.serving.members.entry_ttl import measure_entry_ttl
-from dykemast._internal.serving.state.meters import render_meters
+from dykemast._internal.serving.members.entry_ttl import compute_entry_ttl
+from dykemast._internal.serving.state.monitoring import render_metrics
 from dykemast._internal.serving.parts import Parts
 from dykemast._internal.serving.process.description import describe_state
 from dykemast._internal.serving.requests.responder import (
@@ -29,7 +31,9 @@
     Responder,
     Send,
 )
-from dykemast._internal.serving.members.strain import measure_strain
+from dykemast._internal.serving.members.load_measurement import (
+    measure_router_load,
+)
 from dykemast._internal.utils.clock import read_clock
 
 #: Addresses in one answer at most.
@@ -72,7 +76,7 @@
     """
     if board.table is None or board.stopping:
         return False
-    if know_evacuations(board).outdated:
+    if get_evacuations_freshness(board).outdated:
         # Which halls are being emptied is not known yet.
         return False
     return not board.loops.list_failing(read_clock())
@@ -88,7 +92,7 @@
     if not question.host or not addresses:
         await responder.answer(_NOT_READY, [], b'')
         return
-    ttl = measure_entry_ttl(board)
+    ttl = compute_entry_ttl(board)
     await responder.answer(_OK, [_JSON], encode_entry(addresses, ttl))
 
 
@@ -96,15 +100,19 @@
     board: ServingBoard,
     question: EntryQuestion,
 ) -> list[Endpoint]:
-    homes = board.table.list_homes(question.host) if board.table else []
-    near = keep_homes(_list_options(board), homes, question.region)
+    allowed_regions = (
+        board.table.list_allowed_regions(question.host) if board.table else []
+    )
+    near = filter_by_region(
+        _list_options(board), allowed_regions, question.region
+    )
     chosen = choose_entries(near, MAX_ADDRESSES, random.sample)
     return [one.address for one in chosen]
 
 
 def _list_options(board: ServingBoard) -> list[EntryOption]:
     # If nobody is heard, this router is more likely cut off than all others.
-    peers = list(list_heard(board)) or list(board.peers.values())
+    peers = list(list_live_peers(board)) or list(board.peers.values())
     options = [
         _describe_peer(board, peer)
         for peer in peers
@@ -113,7 +121,7 @@
     if is_ready(board):
         own = board.settings.listeners.caller
         region = board.settings.regions.get(board.settings.hall, '')
-        options.append(EntryOption(own, measure_strain(board), region))
+        options.append(EntryOption(own, measure_router_load(board), region))
     return options
 
 
@@ -124,5 +132,5 @@
 
 
 async def _answer_metrics(parts: Parts, responder: Responder) -> None:
-    body = render_meters(parts.meters, describe_state(parts))
+    body = render_metrics(parts.meters, describe_state(parts))
     await responder.answer(_OK, [_TEXT], body)
--- a/src/dykemast/_internal/serving/process/loops.py
+++ b/src/dykemast/_internal/serving/process/loops.py
@@ -19,11 +19,11 @@
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.process.description import describe_state
 from dykemast._internal.serving.process.clock_watch import watch_clock
-from dykemast._internal.serving.knowledge.follower import Follower
-from dykemast._internal.serving.knowledge.followers import follow_kind
-from dykemast._internal.serving.knowledge.freshness import (
-    Checked,
-    keep_fresh,
+from dykemast._internal.serving.knowledge.updates import Updater
+from dykemast._internal.serving.knowledge.watches import watch_kind
+from dykemast._internal.serving.knowledge.periodic_reads import (
+    PeriodicRead,
+    read_periodically,
 )
 from dykemast._internal.serving.process.loop_ends import tell_end
 from dykemast._internal.serving.process.reload import follow_settings
@@ -70,17 +70,17 @@
     """
     board = assembly.parts.board
     store = assembly.upkeep.store
-    checked = _list_checked(board)
+    periodic_read = _list_checked(board)
     return [
-        *(_make_read_loop(board, store, one) for one in checked),
-        *(_make_watch_loop(board, store, one.follower) for one in checked),
+        *(_make_read_loop(board, store, one) for one in periodic_read),
+        *(_make_watch_loop(board, store, one.updater) for one in periodic_read),
         *list_crash_loops(assembly),
-        Loop('forget_lapsed', partial(backends.forget_lapsed, board)),
+        Loop('forget_lapsed', partial(backends.remove_expired, board)),
         Loop('forget_gone', partial(forget_gone, assembly.parts)),
-        Loop('keep_listed', partial(members.keep_listed, board, store)),
+        Loop('keep_listed', partial(members.keep_registered, board, store)),
         Loop(
             'spread_news',
-            partial(gossip.spread_news, board, assembly.links.gossip),
+            partial(gossip.run_gossip, board, assembly.links.gossip),
         ),
         Loop(
             'follow_table',
@@ -95,36 +95,37 @@
     ]
 
 
-def _list_checked(board: ServingBoard) -> list[Checked]:
-    checked = [
-        Checked(configuration.make_follower(board), CONFIGURATION_AGE),
-        Checked(server_entries.make_follower(board), SERVERS_AGE),
+def _list_checked(board: ServingBoard) -> list[PeriodicRead]:
+    periodic_read = [
+        PeriodicRead(configuration.make_updater(board), CONFIGURATION_AGE),
+        PeriodicRead(server_entries.make_updater(board), SERVERS_AGE),
     ]
     promised = board.settings.bounds.evacuate_time
     if promised is not None:
-        halls = evacuations.make_follower(board)
-        checked.append(Checked(halls, EVACUATIONS_SHARE * promised))
-    return checked
+        halls = evacuations.make_updater(board)
+        periodic_read.append(PeriodicRead(halls, EVACUATIONS_SHARE * promised))
+    return periodic_read
 
 
 def _make_read_loop(
     board: ServingBoard,
     store: ObjectStore,
-    checked: Checked,
+    periodic_read: PeriodicRead,
 ) -> Loop:
-    kind = checked.follower.kind
+    kind = periodic_read.updater.kind
     return Loop(
-        f'keep_fresh:{kind}', partial(keep_fresh, board, store, checked)
+        f'keep_fresh:{kind}',
+        partial(read_periodically, board, store, periodic_read),
     )
 
 
 def _make_watch_loop(
     board: ServingBoard,
     store: ObjectStore,
-    follower: Follower,
+    updater: Updater,
 ) -> Loop:
-    name = f'follow_kind:{follower.kind}'
-    return Loop(name, partial(follow_kind, board, store, follower))
+    name = f'follow_kind:{updater.kind}'
+    return Loop(name, partial(watch_kind, board, store, updater))
 
 
 async def _log_state(assembly: Assembly) -> None:
--- a/src/dykemast/_internal/serving/process/planned_stop.py
+++ b/src/dykemast/_internal/serving/process/planned_stop.py
@@ -14,7 +14,7 @@
 from dykemast._internal.serving.members import gossip, members
 from dykemast._internal.serving.tokens import budget_upkeep
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.members.entry_ttl import measure_entry_ttl
+from dykemast._internal.serving.members.entry_ttl import compute_entry_ttl
 from dykemast._internal.serving.tokens.ledger_writer import AWAY_PAUSE
 from dykemast._internal.serving.process.runtime import Runtime
 from dykemast._internal.utils.clock import read_clock
@@ -55,7 +55,7 @@
     now = read_clock()
     since = board.watch.find_earliest(now)
     bounds = board.settings.bounds
-    plan = plan_stop(now, since, measure_entry_ttl(board), bounds.stop_timeout)
+    plan = plan_stop(now, since, compute_entry_ttl(board), bounds.stop_timeout)
     board.stopping = True
     board.stop_plan = plan
     _log(
@@ -75,8 +75,8 @@
     stop.
     """
     board = runtime.assembly.parts.board
-    await gossip.tell_all(board, runtime.assembly.links.gossip)
-    await members.unlist_self(board, runtime.assembly.upkeep.store)
+    await gossip.notify_all_peers(board, runtime.assembly.links.gossip)
+    await members.deregister_self(board, runtime.assembly.upkeep.store)
 
 
 async def _finish(runtime: Runtime, plan: StopPlan) -> None:
--- a/src/dykemast/_internal/serving/process/records.py
+++ b/src/dykemast/_internal/serving/process/records.py
@@ -76,7 +76,7 @@
     except (RefusedError, ConnectionError):
         raise
     except Exception as error:
-        parts.meters.refusals.inc({'code': 'failed'})
+        parts.metrics.refusals.inc({'code': 'failed'})
         _log(
             'failed',
             request=find_request_id(scope),
@@ -92,7 +92,7 @@
     :param parts: parts of the program.
     :param cut: the request.
     """
-    parts.meters.refusals.inc({'code': 'cut_by_stop'})
+    parts.metrics.refusals.inc({'code': 'cut_by_stop'})
     _log(
         'cut_by_stop',
         request=cut.request_id,
@@ -113,8 +113,8 @@
     if outcome == SERVED:
         parts.board.usual_times.record(ticket.route.name, took, now)
     kind = ticket.route.kind.value
-    parts.meters.requests.inc({'kind': kind, 'outcome': outcome})
-    parts.meters.whole.observe({'kind': kind}, took)
+    parts.metrics.requests.inc({'kind': kind, 'outcome': outcome})
+    parts.metrics.duration.observe({'kind': kind}, took)
     _log(
         outcome,
         request=ticket.request.request_id,
@@ -136,7 +136,7 @@
     :param request_id: id that the caller gave the request.
     :param started: seconds at which it came.
     """
-    parts.meters.refusals.inc({'code': error.code.name})
+    parts.metrics.refusals.inc({'code': error.code.name})
     _log(
         'refused',
         request=request_id,
--- a/src/dykemast/_internal/serving/process/runtime.py
+++ b/src/dykemast/_internal/serving/process/runtime.py
@@ -46,7 +46,7 @@
     parts = assembly.parts
     peer_server = await peer_calls.open_peer_server(
         board,
-        assembly.links.peer_news,
+        assembly.links.messages,
         peer_calls.TokenCalls(parts.budgets.lend, parts.budgets.take_back),
     )
     listeners = await _open_listeners(parts)
--- a/src/dykemast/_internal/serving/relay/payments.py
+++ b/src/dykemast/_internal/serving/relay/payments.py
@@ -47,7 +47,7 @@
         priority = self._ticket.route.priority
         more = await self._parts.budgets.hold(workspace, missing, priority)
         self._holds.append(more)
-        self._parts.meters.tokens.add({'state': 'held'}, missing)
+        self._parts.metrics.tokens.add({'state': 'held'}, missing)
 
     async def hold_for_retry(self) -> None:
         """Hold what one more engine may make of an answer that broke off.
@@ -70,7 +70,7 @@
             self._parts.budgets.settle(held, charged)
             left -= charged
         if self._holds:
-            self._parts.meters.tokens.add({'state': 'consumed'}, used)
+            self._parts.metrics.tokens.add({'state': 'consumed'}, used)
             self._log_settled(used)
 
     def _log_settled(self, used: int) -> None:
--- a/src/dykemast/_internal/serving/relay/stream_requests.py
+++ b/src/dykemast/_internal/serving/relay/stream_requests.py
@@ -34,4 +34,4 @@
     first_at = stream.relay.first_at
     if first_at:
         took = first_at - ticket.started
-        parts.meters.first_byte.observe({'kind': 'stream'}, took)
+        parts.metrics.first_byte.observe({'kind': 'stream'}, took)
--- a/src/dykemast/_internal/serving/requests/ticket.py
+++ b/src/dykemast/_internal/serving/requests/ticket.py
@@ -31,13 +31,16 @@
     deadline: float
     version: int
 
-    def list_homes(self) -> list[frozenset[str]]:
+    def list_allowed_regions(self) -> list[frozenset[str]]:
         """List where the request has to stay; each of them binds.
 
         :returns: sets of regions; none where it may go anywhere.
         """
-        asked = (self.route.homes, self.workspace and self.workspace.homes)
-        return [homes for homes in asked if homes]
+        asked = (
+            self.route.allowed_regions,
+            self.workspace and self.workspace.allowed_regions,
+        )
+        return [allowed_regions for allowed_regions in asked if allowed_regions]
 
     def is_repeatable(self) -> bool:
         """Tell whether the request may run more than once.
--- a/src/dykemast/_internal/serving/state/board.py
+++ b/src/dykemast/_internal/serving/state/board.py
@@ -8,7 +8,7 @@
 from dykemast._internal.models.backend import BackendServer, Evacuations
 from dykemast._internal.models.deployment import InstanceSettings
 from dykemast._internal.models.fleet import PeerCard
-from dykemast._internal.models.news import ListState, Strain
+from dykemast._internal.models.gossip import ListState, RouterLoad
 from dykemast._internal.models.routing_table import RoutingTable
 from dykemast._internal.operations import (
     broken_sends,
@@ -25,12 +25,12 @@
 
 #: Seconds since the last news after which a peer counts as silent: several
 #: rounds of news; in a large fleet, where they come over others, some more.
-SILENCE: Final = 1.5
-SILENCE_PER_PEER: Final = 0.03
-MAX_SILENCE: Final = 2.5
+PEER_TIMEOUT_S: Final = 1.5
+PEER_TIMEOUT_PER_PEER_S: Final = 0.03
+MAX_PEER_TIMEOUT_S: Final = 2.5
 #: Seconds over which arriving requests are averaged: callers keep an entry
 #: answer for 1.5 to 4.5 s, so that they follow within some of these.
-ARRIVAL_WINDOW: Final = 2.0
+ARRIVAL_WINDOW_S: Final = 2.0
 
 
 @dataclasses.dataclass
@@ -38,18 +38,18 @@
     """Another router as last heard of.
 
     :param card: what it tells about itself.
-    :param heard_at: seconds at which it last told something, to this router
+    :param last_heard_at: seconds at which it last told something, to this router
         or to one that passed it on; 0 for never.
-    :param met_at: seconds at which it last exchanged news with this router.
-    :param strain: how much comes to it, as it last told.
-    :param budgets_away: whether it could not write budgets then.
+    :param last_exchange_at: seconds at which it last exchanged news with this router.
+    :param router_load: how much comes to it, as it last told.
+    :param budget_write_failed: whether it could not write budgets then.
     """
 
     card: PeerCard
-    heard_at: float = 0
-    met_at: float = 0
-    strain: Strain = Strain()
-    budgets_away: bool = False
+    last_heard_at: float = 0
+    last_exchange_at: float = 0
+    router_load: RouterLoad = RouterLoad()
+    budget_write_failed: bool = False
 
 
 @dataclasses.dataclass
@@ -62,12 +62,12 @@
     :param table: configuration in force; ``serving.configuration``.
     :param table_changed: set when another one came in force;
         ``serving.configuration``.
-    :param table_raw: the same, as it came; ``serving.configuration``.
-    :param checked_at: seconds at which a kind was last read whole, here or
-        at a peer whose news arrived; ``serving.freshness``.
-    :param reads_since: seconds at which a read of a kind began that is not
+    :param encoded_table: the same, as it came; ``serving.configuration``.
+    :param last_read_at: seconds at which a kind was last read whole, here or
+        at a peer whose message arrived; ``serving.freshness``.
+    :param read_started_at: seconds at which a read of a kind began that is not
         over; ``serving.freshness``.
-    :param heard_version: highest version of the configuration that a peer
+    :param newest_peer_version: highest version of the configuration that a peer
         told of; ``serving.gossip``.
     :param revisions: of the store, by kind, up to which changes are known;
         ``serving.configuration`` and ``serving.backends``.
@@ -77,7 +77,7 @@
     :param server_objects: their entries as the store holds them, by id;
         ``serving.backends``.
     :param server_state: how far these are known; ``serving.backends``.
-    :param lapsed: seconds until which a server stays whose entry lapsed
+    :param expired_until: seconds until which a server stays whose entry expired_until
         while the store was away, by name; ``serving.backends``.
     :param leaving: names of servers that are leaving; only ever grows while
         they are listed; ``serving.backends`` and ``serving.gossip``.
@@ -97,9 +97,9 @@
         ``serving.planned_stop``.
     :param stop_plan: how it ends, once it is stopping;
         ``serving.planned_stop``.
-    :param store_away_since: seconds since when the store does not answer,
+    :param store_unavailable_since: seconds since when the store does not answer,
         0 while it does; ``serving.store_state``.
-    :param budgets_away: whether the last write of a budget failed;
+    :param budget_write_failed: whether the last write of a budget failed;
         ``serving.ledger_writer``.
     :param usual_times: how long requests take; ``serving.records`` and
         ``serving.application``.
@@ -122,10 +122,10 @@
     table_changed: asyncio.Event = dataclasses.field(
         default_factory=asyncio.Event
     )
-    table_raw: bytes = b''
-    checked_at: dict[str, float] = dataclasses.field(default_factory=dict)
-    reads_since: dict[str, float] = dataclasses.field(default_factory=dict)
-    heard_version: int = 0
+    encoded_table: bytes = b''
+    last_read_at: dict[str, float] = dataclasses.field(default_factory=dict)
+    read_started_at: dict[str, float] = dataclasses.field(default_factory=dict)
+    newest_peer_version: int = 0
     revisions: dict[str, int] = dataclasses.field(default_factory=dict)
     servers: dict[str, BackendServer] = dataclasses.field(default_factory=dict)
     server_starts: dict[str, BackendServer] = dataclasses.field(
@@ -135,7 +135,7 @@
         default_factory=dict
     )
     server_state: ListState = ListState()
-    lapsed: dict[str, float] = dataclasses.field(default_factory=dict)
+    expired_until: dict[str, float] = dataclasses.field(default_factory=dict)
     leaving: set[str] = dataclasses.field(default_factory=set)
     cold_until: dict[str, float] = dataclasses.field(default_factory=dict)
     backpressure: backpressure_state.BackpressureState = dataclasses.field(
@@ -146,12 +146,12 @@
     peers_read: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
     inflight: int = 0
     arrivals: demand.Demand = dataclasses.field(
-        default_factory=lambda: demand.Demand(ARRIVAL_WINDOW)
+        default_factory=lambda: demand.Demand(ARRIVAL_WINDOW_S)
     )
     stopping: bool = False
     stop_plan: planned_stop.StopPlan | None = None
-    store_away_since: float = 0
-    budgets_away: bool = False
+    store_unavailable_since: float = 0
+    budget_write_failed: bool = False
     usual_times: route_times.RouteTimes = dataclasses.field(
         default_factory=route_times.RouteTimes
     )
@@ -171,7 +171,7 @@
     quarantined: set[str] = dataclasses.field(default_factory=set)
     trials: set[str] = dataclasses.field(default_factory=set)
 
-    def count_version(self) -> int:
+    def get_version(self) -> int:
         """Tell the version of the configuration in force.
 
         :returns: its version; 0 for none.
@@ -191,7 +191,7 @@
             host=listeners.caller.host,
             caller_port=listeners.caller.port,
             peer_port=listeners.peer.port,
-            revision=self.count_version(),
+            revision=self.get_version(),
             inflight=self.inflight,
             leaving=self.stopping,
         )
@@ -204,12 +204,12 @@
     :param peer: the peer.
     :returns: whether it is silent.
     """
-    scaled = SILENCE_PER_PEER * len(board.peers)
-    patience = min(MAX_SILENCE, max(SILENCE, scaled))
-    return read_clock() - peer.heard_at > patience
+    scaled = PEER_TIMEOUT_PER_PEER_S * len(board.peers)
+    patience = min(MAX_PEER_TIMEOUT_S, max(PEER_TIMEOUT_S, scaled))
+    return read_clock() - peer.last_heard_at > patience
 
 
-def note_silent(board: ServingBoard, peer: Peer) -> bool:
+def mark_silent(board: ServingBoard, peer: Peer) -> bool:
     """Take note that a peer does not answer.
 
     :param board: the blackboard.
@@ -218,11 +218,11 @@
     """
     if is_silent(board, peer):
         return False
-    peer.heard_at = 0
+    peer.last_heard_at = 0
     return True
 
 
-def list_heard(board: ServingBoard) -> Iterator[Peer]:
+def list_live_peers(board: ServingBoard) -> Iterator[Peer]:
     """List the peers that were heard of lately.
 
     :param board: the blackboard.
--- a/src/dykemast/_internal/serving/state/fleet_size.py
+++ b/src/dykemast/_internal/serving/state/fleet_size.py
@@ -7,13 +7,13 @@
 #: Routers from which on a fleet is large: beyond some twenty, writes of one
 #: budget by all of them would mostly meet each other, and exchanges of news
 #: with all would take most of a small instance's processor.
-LARGE_FLEET: Final = 20
+LARGE_FLEET_ROUTERS: Final = 20
 
 
-def is_large(board: ServingBoard) -> bool:
+def is_large_fleet(board: ServingBoard) -> bool:
     """Tell whether this is a large fleet.
 
     :param board: the blackboard.
     :returns: whether it is.
     """
-    return len(board.peers) >= LARGE_FLEET
+    return len(board.peers) >= LARGE_FLEET_ROUTERS
--- a/src/dykemast/_internal/serving/state/loads.py
+++ b/src/dykemast/_internal/serving/state/loads.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from dykemast._internal.models.news import ServerLoad
+from dykemast._internal.models.gossip import ServerLoad
 from dykemast._internal.operations.absent_servers import AbsentServers
 from dykemast._internal.operations.engine_pauses import EnginePauses
 from dykemast._internal.operations.own_loads import OwnLoads
--- a/src/dykemast/_internal/serving/state/meters.py
+++ b/src/dykemast/_internal/serving/state/monitoring.py
@@ -8,7 +8,7 @@
 _BUCKETS: Final = (0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 15)
 
 
-class Meters(NamedTuple):
+class Metrics(NamedTuple):
     """Metrics of one router.
 
     :param registry: all of them.
@@ -18,7 +18,7 @@
     :param cold_sends: sends to servers that were cold, by service.
     :param limited_sends: sends to servers that named a limit, by service.
     :param first_byte: seconds until an answer began.
-    :param whole: seconds until an answer was whole.
+    :param duration: seconds until an answer was whole.
     :param tokens: tokens held and consumed.
     :param store_calls: calls to the store by kind.
     :param gauges: state at the moment of asking.
@@ -31,13 +31,13 @@
     cold_sends: Counter
     limited_sends: Counter
     first_byte: Histogram
-    whole: Histogram
+    duration: Histogram
     tokens: Counter
     store_calls: Counter
     gauges: Gauge
 
 
-def make_meters() -> Meters:
+def make_metrics() -> Metrics:
     """Make the metrics, all at zero.
 
     :returns: the metrics.
@@ -55,7 +55,7 @@
             buckets=_BUCKETS,
         )
 
-    return Meters(
+    return Metrics(
         registry,
         count('requests_total', 'Requests ended.'),
         count('refusals_total', 'Refusals by code.'),
@@ -70,14 +70,14 @@
     )
 
 
-def render_meters(meters: Meters, state: dict[str, float]) -> bytes:
+def render_metrics(metrics: Metrics, state: dict[str, float]) -> bytes:
     """Write the metrics in the usual text format.
 
-    :param meters: the metrics.
+    :param metrics: the metrics.
     :param state: gauges by name.
     :returns: the text.
     """
     for name, amount in state.items():
-        meters.gauges.set({'of': name}, amount)
-    text, _ = render(meters.registry, ['text/plain'])
+        metrics.gauges.set({'of': name}, amount)
+    text, _ = render(metrics.registry, ['text/plain'])
     return text
--- a/src/dykemast/_internal/serving/state/quarantines.py
+++ b/src/dykemast/_internal/serving/state/quarantines.py
@@ -47,8 +47,8 @@
     :param board: the blackboard.
     :returns: the news.
     """
-    news = crash_gossip.build_crash_gossip(board.crashes, read_clock())
-    return news._replace(complete=is_crash_table_current(board))
+    message = crash_gossip.build_crash_gossip(board.crashes, read_clock())
+    return message._replace(complete=is_crash_table_current(board))
 
 
 def is_crash_table_current(board: ServingBoard) -> bool:
@@ -65,29 +65,29 @@
 
 def record_crash_answer(
     board: ServingBoard,
-    news: CrashGossip,
+    message: CrashGossip,
     asked_at: float,
 ) -> None:
     """Take note of a peer's answer to this router.
 
     :param board: the blackboard.
-    :param news: what it told, and is taken already.
+    :param message: what it told, and is taken already.
     :param asked_at: seconds at which it was asked.
     """
-    if news.complete:
+    if message.complete:
         board.crashes.asked_at = asked_at
 
 
 def apply_crash_gossip(
-    board: ServingBoard, news: CrashGossip, source: str
+    board: ServingBoard, message: CrashGossip, source: str
 ) -> None:
     """Take what a peer tells of requests that end servers.
 
     :param board: the blackboard.
-    :param news: the news.
+    :param message: the news.
     :param source: the peer.
     """
-    if crash_gossip.apply_crash_gossip(board.crashes, news, read_clock()):
+    if crash_gossip.apply_crash_gossip(board.crashes, message, read_clock()):
         review_crashes(board, source)
 
 
--- a/src/dykemast/_internal/serving/tokens/budget_owners.py
+++ b/src/dykemast/_internal/serving/tokens/budget_owners.py
@@ -14,9 +14,9 @@
 from dykemast._internal.serving.state.board import (
     Peer,
     ServingBoard,
-    list_heard,
+    list_live_peers,
 )
-from dykemast._internal.serving.state.fleet_size import is_large
+from dykemast._internal.serving.state.fleet_size import is_large_fleet
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds after its start in which a router has not met the others yet.
@@ -30,7 +30,7 @@
     :param workspace: whose budget it is.
     :returns: whether it does.
     """
-    return not is_large(board) or find_owner(board, workspace) is None
+    return not is_large_fleet(board) or find_owner(board, workspace) is None
 
 
 def find_owner(board: ServingBoard, workspace: str) -> PeerCard | None:
@@ -49,6 +49,6 @@
     # Routers that start at one moment hear of each other one by one, and each
     # would keep all budgets until then; the list is the same for all of them.
     young = read_clock() - board.started_at < PEER_DISCOVERY_S
-    peers = board.peers.values() if young else list_heard(board)
+    peers = board.peers.values() if young else list_live_peers(board)
     # Who is about to end keeps nothing for others any more.
     return (peer for peer in peers if not peer.card.leaving)
--- a/src/dykemast/_internal/serving/tokens/budget_upkeep.py
+++ b/src/dykemast/_internal/serving/tokens/budget_upkeep.py
@@ -6,7 +6,7 @@
 from dykemast._internal.serving.tokens.accounts import Account
 from dykemast._internal.serving.tokens.holds import NEVER, Shortage
 from dykemast._internal.serving.tokens.budget_owners import is_owner
-from dykemast._internal.serving.state.fleet_size import is_large
+from dykemast._internal.serving.state.fleet_size import is_large_fleet
 from dykemast._internal.serving.tokens.token_source import needs_loan
 from dykemast._internal.serving.tokens.upkeep import Upkeep, read_rows
 from dykemast._internal.utils.clock import read_clock
@@ -58,7 +58,7 @@
     :returns: whether the store has confirmed it of all budgets.
     """
     accounts = list(upkeep.budgets.accounts.values())
-    if is_large(upkeep.board):
+    if is_large_fleet(upkeep.board):
         returns = (upkeep.search.source.return_loans(one) for one in accounts)
         await asyncio.gather(*returns)
         # Who only borrowed has no row to write.
--- a/src/dykemast/_internal/serving/tokens/budgets.py
+++ b/src/dykemast/_internal/serving/tokens/budgets.py
@@ -12,7 +12,7 @@
 )
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.tokens.budget_owners import is_owner
-from dykemast._internal.serving.state.fleet_size import is_large
+from dykemast._internal.serving.state.fleet_size import is_large_fleet
 from dykemast._internal.serving.tokens.holds import Hold
 from dykemast._internal.serving.tokens.token_search import TokenSearch
 from dykemast._internal.utils.clock import read_clock
@@ -107,7 +107,7 @@
         account = self.get_account(workspace)
         demand = account.demand.compute_window_average(read_clock())
         wanted = tokens + compute_loan(account.ledger, spare or 0, demand)
-        if is_large(self._board) and is_owner(self._board, workspace):
+        if is_large_fleet(self._board) and is_owner(self._board, workspace):
             account.demand.record(wanted, read_clock())
             if account.allowance.count_available() < wanted:
                 await self._search.refill(account, wanted)
--- a/src/dykemast/_internal/serving/tokens/ledger_writer.py
+++ b/src/dykemast/_internal/serving/tokens/ledger_writer.py
@@ -68,7 +68,7 @@
         """
         async with account.turn:
             await self._write_logged(account, spare=spare)
-        self._board.budgets_away = self.is_away
+        self._board.budget_write_failed = self.is_away
 
     async def _write_logged(self, account: Account, *, spare: bool) -> None:
         account.written_at = read_clock()
--- a/src/dykemast/_internal/serving/tokens/token_source.py
+++ b/src/dykemast/_internal/serving/tokens/token_source.py
@@ -3,12 +3,12 @@
 from typing import Final
 
 from dykemast._internal.serving.tokens.accounts import Account
-from dykemast._internal.serving.state.board import ServingBoard, list_heard
+from dykemast._internal.serving.state.board import ServingBoard, list_live_peers
 from dykemast._internal.serving.tokens.budget_owners import (
     find_owner,
     is_owner,
 )
-from dykemast._internal.serving.state.fleet_size import is_large
+from dykemast._internal.serving.state.fleet_size import is_large_fleet
 from dykemast._internal.serving.members.gossip import Gossip
 from dykemast._internal.serving.tokens.ledger_writer import LedgerWriter
 from dykemast._internal.serving.tokens.loans import (
@@ -51,7 +51,7 @@
     :param account: the budget.
     :returns: whether it should.
     """
-    if board.stopping or not is_large(board):
+    if board.stopping or not is_large_fleet(board):
         return False
     if read_clock() - account.borrowed_at < LOAN_PAUSE:
         return False
@@ -101,7 +101,7 @@
         :param account: the budget.
         """
         keeper = find_owner(self._board, account.workspace)
-        if is_large(self._board) and keeper:
+        if is_large_fleet(self._board) and keeper:
             room = account.allowance.count_available()
             await return_tokens(self._gossip, keeper, account, max(0, room))
 
@@ -110,14 +110,14 @@
 
         :param account: the budget.
         """
-        if is_large(self._board) and await self._ask_keeper(account):
+        if is_large_fleet(self._board) and await self._ask_keeper(account):
             if not self._is_stranded(account):
                 return
         terms = self._writer.read_terms(account.workspace)
         if self._writer.may_call_store() and account.may_get_tokens(terms):
             await self._writer.write(account)
         if account.pending > account.allowance.count_available():
-            peers = [peer.card for peer in list_heard(self._board)]
+            peers = [peer.card for peer in list_live_peers(self._board)]
             await borrow_tokens(self._gossip, peers, account)
 
     def _is_stranded(self, account: Account) -> bool:
@@ -130,7 +130,7 @@
             return False
         keeper = find_owner(self._board, account.workspace)
         peer = self._board.peers.get(keeper.instance) if keeper else None
-        return peer is not None and peer.budgets_away
+        return peer is not None and peer.budget_write_failed
 
     async def _ask_keeper(self, account: Account) -> bool:
         """Ask the budget's keeper.
--- a/src/dykemast/_internal/serving/tokens/upkeep.py
+++ b/src/dykemast/_internal/serving/tokens/upkeep.py
@@ -8,7 +8,7 @@
 )
 from dykemast._internal.platform.objects import ObjectStore
 from dykemast._internal.serving.tokens.accounts import BUDGET_KIND
-from dykemast._internal.serving.state.fleet_size import is_large
+from dykemast._internal.serving.state.fleet_size import is_large_fleet
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.tokens.budgets import Budgets
 from dykemast._internal.serving.tokens.ledger_writer import LedgerWriter
@@ -49,7 +49,7 @@
     if upkeep.board.settings.first_start:
         return
     await upkeep.board.peers_read.wait()
-    if is_large(upkeep.board):
+    if is_large_fleet(upkeep.board):
         return
     try:
         listing = await upkeep.store.list_kind(BUDGET_KIND)
--- a/tests/unit/test_choice_cost.py
+++ b/tests/unit/test_choice_cost.py
@@ -11,7 +11,7 @@
 from dykemast._internal.operations.engine_pauses import EnginePauses
 from dykemast._internal.platform.request_headers import decode_request
 from dykemast._internal.serving.choice.choices import choose_server
-from dykemast._internal.serving.knowledge.backends import take_server
+from dykemast._internal.serving.knowledge.backends import add_server
 from dykemast._internal.serving.parts import make_parts
 from dykemast._internal.serving.requests.ticket import Ticket
 from dykemast._internal.serving.state.loads import make_loads
@@ -66,7 +66,7 @@
     pauses = CountedPauses()
     board = make_board()
     for number in range(ENGINES):
-        take_server(board, make_engine(number))
+        add_server(board, make_engine(number))
     parts = make_parts(board, None, make_loads()._replace(pauses=pauses))
     assert choose_server(parts, make_ticket(tokens), [])
     return pauses.asked
--- a/tests/unit/test_cold_entries.py
+++ b/tests/unit/test_cold_entries.py
@@ -7,7 +7,7 @@
     evacuations,
     server_entries,
 )
-from dykemast._internal.serving.knowledge.follower import take_listing
+from dykemast._internal.serving.knowledge.updates import apply_listing
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_board
@@ -21,8 +21,8 @@
     """Read the list, whose one entry was written at a revision."""
     _, _, spec = make_server(NAME, 1, HALL)
     stored = StoreObject(NAME, revision, {**spec, **fields})
-    follower = server_entries.make_follower(board)
-    take_listing(follower, Listing([stored], revision))
+    updater = server_entries.make_updater(board)
+    apply_listing(updater, Listing([stored], revision))
 
 
 def is_cold(board: ServingBoard) -> bool:
@@ -33,8 +33,8 @@
     board = make_board()
     take_entry(board, 1)
     emptied = Evacuations(2, frozenset((HALL,)))
-    evacuations.take_evacuations(board, emptied, 'store')
-    evacuations.take_evacuations(board, Evacuations(3), 'store')
+    evacuations.apply_evacuations(board, emptied, 'store')
+    evacuations.apply_evacuations(board, Evacuations(3), 'store')
     assert is_cold(board)
     # The same entry, read again, says nothing new; a new one decides.
     take_entry(board, 1)
@@ -46,7 +46,7 @@
 def test_a_server_whose_entry_lapsed_counts_as_cold_when_it_is_back() -> None:
     board = make_board()
     take_entry(board, 1)
-    board.lapsed[NAME] = read_clock() + 1
+    board.expired_until[NAME] = read_clock() + 1
     take_entry(board, 2)
     assert is_cold(board)
 
--- a/tests/unit/test_configuration.py
+++ b/tests/unit/test_configuration.py
@@ -27,11 +27,11 @@
 def test_older_revision_never_comes_into_force() -> None:
     board = make_board()
     store = RevisionStore(FakePlatform())
-    follower = ConfigurationFollower(
+    updater = ConfigurationFollower(
         board, store, PeerClient('key', peer_thrift.Peer)
     )
     for number in (1, 3, 2, 3, 1):
-        follower.apply(Revision(number, f's{number}', EMPTY), 'a test')
+        updater.apply(Revision(number, f's{number}', EMPTY), 'a test')
     assert board.rules.revision.number == 3
 
 
--- a/tests/unit/test_crash_news.py
+++ b/tests/unit/test_crash_news.py
@@ -108,8 +108,8 @@
         crash = ServerCrash(f'i-{server}', 0, suspects, 'llm', 44)
         record_crash(table, crash, 100)
     review_suspects(table, 100)
-    news = crash_gossip.build_crash_gossip(table, 100)
-    assert len(pack(news, FAST)) < MAX_BYTES
+    message = crash_gossip.build_crash_gossip(table, 100)
+    assert len(pack(message, FAST)) < MAX_BYTES
     assert len(table.crashes) <= 256
 
 
--- a/tests/unit/test_crash_objects.py
+++ b/tests/unit/test_crash_objects.py
@@ -8,7 +8,7 @@
     Listing,
     StoreObject,
 )
-from dykemast._internal.serving.knowledge import crash_records, follower
+from dykemast._internal.serving.knowledge import crash_records, updates
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.state.quarantines import is_crash_table_current
 from dykemast._internal.utils.clock import read_clock
@@ -23,9 +23,9 @@
 
 
 def take(board: ServingBoard, stored: StoreObject, *, removed: bool) -> None:
-    following = crash_records.make_follower(board)
+    following = crash_records.make_updater(board)
     changes = Changes([Event(stored, removed)], 4)
-    follower.take_changes(following, changes)
+    updates.apply_changes(following, changes)
 
 
 def test_a_record_quarantines_until_an_operator_removes_it() -> None:
@@ -62,6 +62,6 @@
 def test_a_listing_lifts_nothing_that_is_missing_in_it() -> None:
     board = make_board()
     take(board, make_object(), removed=False)
-    following = crash_records.make_follower(board)
-    follower.take_listing(following, Listing([], 9))
+    following = crash_records.make_updater(board)
+    updates.apply_listing(following, Listing([], 9))
     assert board.quarantined == {NAME}
--- a/tests/unit/test_entry_choice.py
+++ b/tests/unit/test_entry_choice.py
@@ -3,7 +3,7 @@
 import math
 
 from dykemast._internal.models.deployment import Capacity, Endpoint
-from dykemast._internal.models.news import Strain
+from dykemast._internal.models.gossip import RouterLoad
 from dykemast._internal.operations.entry_choice import (
     MIN_WEAK,
     EntryOption,
@@ -11,9 +11,9 @@
 )
 from dykemast._internal.platform.capacity import decode_capacity
 from dykemast._internal.platform.settings_reader import SettingsReader
-from dykemast._internal.serving.members.strain import (
-    measure_strain,
-    sheds_callers,
+from dykemast._internal.serving.members.load_measurement import (
+    measure_router_load,
+    should_close_connections,
 )
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_board, make_boards
@@ -23,7 +23,7 @@
     first = int(capacity * 1000)
     return [
         EntryOption(
-            Endpoint('10.0.0.1', first + number), Strain(capacity, rate)
+            Endpoint('10.0.0.1', first + number), RouterLoad(capacity, rate)
         )
         for number in range(count)
     ]
@@ -61,28 +61,30 @@
     board = make_board()
     common = board.settings
     board.settings = common._replace(capacity=Capacity(0.5, 100_000_000))
-    by_processor = measure_strain(board).capacity
+    by_processor = measure_router_load(board).capacity
     board.settings = common._replace(capacity=Capacity(0.5, 100_000))
-    assert measure_strain(board).capacity < by_processor
+    assert measure_router_load(board).capacity < by_processor
     board.arrivals.record(1, read_clock())
-    assert measure_strain(board).rate > 0
+    assert measure_router_load(board).rate > 0
 
 
 def test_a_strained_router_closes_connections_if_there_are_others() -> None:
     alone, board = make_board(), make_boards(2)[0]
     now = read_clock()
-    assert not sheds_callers(board)
+    assert not should_close_connections(board)
     for _ in range(1000):
         alone.arrivals.record(1, now)
         board.arrivals.record(1, now)
-    assert not sheds_callers(alone)
+    assert not should_close_connections(alone)
     peer = board.peers['node-1']
-    peer.strain = Strain(capacity=10, rate=1)
-    assert sheds_callers(board)
-    peer.strain = Strain(capacity=10, rate=11)
-    assert not sheds_callers(board), 'the other gets too much as well'
+    peer.router_load = RouterLoad(capacity=10, rate=1)
+    assert should_close_connections(board)
+    peer.router_load = RouterLoad(capacity=10, rate=11)
+    assert not should_close_connections(board), (
+        'the other gets too much as well'
+    )
     alone.stopping = True
-    assert sheds_callers(alone)
+    assert should_close_connections(alone)
 
 
 def decode(**limits: float) -> Capacity:
@@ -102,7 +104,7 @@
 def test_routers_without_bound_are_strong_and_never_strained() -> None:
     board = make_board()
     board.settings = board.settings._replace(capacity=decode())
-    strain = measure_strain(board)
-    option = EntryOption(Endpoint('10.0.0.1', 1), strain)
+    router_load = measure_router_load(board)
+    option = EntryOption(Endpoint('10.0.0.1', 1), router_load)
     assert choose_entries([option], 64, take_first) == [option]
-    assert not sheds_callers(board)
+    assert not should_close_connections(board)
--- a/tests/unit/test_failed_requests.py
+++ b/tests/unit/test_failed_requests.py
@@ -10,7 +10,7 @@
 import logbook
 
 from dykemast._internal.serving.process.application import make_application
-from dykemast._internal.serving.state.meters import make_meters
+from dykemast._internal.serving.state.monitoring import make_metrics
 from tests.lib.serving_boards import make_board
 
 REQUEST = 'one'
@@ -25,7 +25,7 @@
 
 
 async def serve_request() -> None:
-    parts: Any = SimpleNamespace(board=make_board(), meters=make_meters())
+    parts: Any = SimpleNamespace(board=make_board(), metrics=make_metrics())
     application = make_application(parts)
     scope = {'headers': [(b'x-attempt-id', REQUEST.encode())]}
     try:
--- a/tests/unit/test_first_keepers.py
+++ b/tests/unit/test_first_keepers.py
@@ -26,7 +26,7 @@
     return boards
 
 
-def list_keepers(boards: list[ServingBoard]) -> set[str]:
+def list_owners(boards: list[ServingBoard]) -> set[str]:
     """List whom the routers would ask, themselves included."""
     found = [(board, find_owner(board, WORKSPACE)) for board in boards]
     return {
@@ -36,9 +36,9 @@
 
 
 def test_all_that_have_just_started_agree_on_a_keeper() -> None:
-    assert len(list_keepers(start_all(age=0))) == 1
+    assert len(list_owners(start_all(age=0))) == 1
 
 
 def test_who_hears_of_nobody_later_on_is_cut_off_and_keeps_all() -> None:
     # To ask a keeper that cannot be reached would cost each search its time.
-    assert len(list_keepers(start_all(age=PEER_DISCOVERY_S + 0.1))) == ROUTERS
+    assert len(list_owners(start_all(age=PEER_DISCOVERY_S + 0.1))) == ROUTERS
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -10,15 +10,15 @@
 from collections.abc import Iterator
 from unittest import mock
 
-from dykemast._internal.models.news import ServerLoad
+from dykemast._internal.models.gossip import ServerLoad
 from dykemast._internal.operations import peer_loads, rendezvous
 from dykemast._internal.platform.servers import SERVER_KIND
-from dykemast._internal.serving.knowledge.freshness import (
+from dykemast._internal.serving.knowledge.periodic_reads import (
     FIRST_AGE_IN_LARGE_FLEET,
-    Checked,
-    is_due,
+    PeriodicRead,
+    is_read_due,
 )
-from dykemast._internal.serving.knowledge.server_entries import make_follower
+from dykemast._internal.serving.knowledge.server_entries import make_updater
 from dykemast._internal.serving.process.assembly import assemble
 from dykemast._internal.serving.state.board import Peer, ServingBoard
 from dykemast._internal.serving.tokens import budget_upkeep
@@ -77,16 +77,16 @@
 def test_turns_to_read_cost_a_few_looks() -> None:
     for size in SIZES:
         board = make_fleet(size)
-        checked = Checked(make_follower(board), 1.4)
+        periodic_read = PeriodicRead(make_updater(board), 1.4)
         now = read_clock()
-        board.checked_at[SERVER_KIND] = now - FIRST_AGE_IN_LARGE_FLEET * 1.3
-        assert not is_due(board, checked)
+        board.last_read_at[SERVER_KIND] = now - FIRST_AGE_IN_LARGE_FLEET * 1.3
+        assert not is_read_due(board, periodic_read)
         assert not board.peers.looks, 'nobody has to read yet'
-        board.checked_at[SERVER_KIND] = now - 1.3
-        assert not is_due(board, checked)
+        board.last_read_at[SERVER_KIND] = now - 1.3
+        assert not is_read_due(board, periodic_read)
         assert board.peers.looks <= 3, (size, board.peers.looks)
-        board.checked_at[SERVER_KIND] = now - 1.5
-        assert is_due(board, checked), 'the last one reads as well'
+        board.last_read_at[SERVER_KIND] = now - 1.5
+        assert is_read_due(board, periodic_read), 'the last one reads as well'
 
 
 def take_all(names: list[str]) -> peer_loads.PeerLoads:
--- a/tests/unit/test_foreign_entries.py
+++ b/tests/unit/test_foreign_entries.py
@@ -18,11 +18,11 @@
 from dykemast._internal.platform import store_codec, store_pages
 from dykemast._internal.platform.json_members import split_members
 from dykemast._internal.platform.store_types import Listing, StoreObject
-from dykemast._internal.serving.knowledge.follower import (
-    take_changes,
-    take_listing,
+from dykemast._internal.serving.knowledge.updates import (
+    apply_changes,
+    apply_listing,
 )
-from dykemast._internal.serving.knowledge.server_entries import make_follower
+from dykemast._internal.serving.knowledge.server_entries import make_updater
 from tests.lib.serving_boards import make_board
 
 VALID: Final = MappingProxyType(
@@ -103,7 +103,7 @@
     """Read a page as a router does, and tell which ids it would use."""
     board = make_board()
     listing = store_pages.decode_page(join_page(members)).listing
-    take_listing(make_follower(board), listing)
+    apply_listing(make_updater(board), listing)
     assert set(board.server_objects) == set(board.server_starts)
     return {server.server_id for server in board.servers.values()}
 
@@ -205,15 +205,15 @@
 def test_an_entry_that_becomes_unusable_names_no_server_at_once() -> None:
     # It has not lapsed while the store was away: something stands there.
     board = make_board()
-    follower = make_follower(board)
+    updater = make_updater(board)
     valid = [StoreObject(name, 1, VALID) for name in 'ab']
-    take_listing(follower, Listing(valid, 1))
-    board.checked_at.clear()
+    apply_listing(updater, Listing(valid, 1))
+    board.last_read_at.clear()
     foreign = StoreObject('a', 2, make_misfit('slots', '4'))
-    take_listing(follower, Listing([foreign, valid[1]], 2))
+    apply_listing(updater, Listing([foreign, valid[1]], 2))
     assert set(board.server_starts) == {'b'}
     assert len(board.servers) == 1
-    assert not board.lapsed
+    assert not board.expired_until
 
 
 def test_a_change_that_cannot_be_read_has_the_list_read_again() -> None:
@@ -238,5 +238,5 @@
     body = b'{"storeRevision": 9, "events": [%b, %b]}' % events
     changes = store_pages.decode_changes(Answer(200, body))
     board = make_board()
-    take_changes(make_follower(board), changes)
+    apply_changes(make_updater(board), changes)
     assert set(board.server_starts) == {'a'}
--- a/tests/unit/test_foreign_rows.py
+++ b/tests/unit/test_foreign_rows.py
@@ -71,7 +71,7 @@
             for card in cards
         ),
     ]
-    await members.read_peers(board, ListedStore(found))
+    await members.refresh_peers(board, ListedStore(found))
     assert set(board.peers) == {'node-1'}
     assert board.peers_read.is_set()
 
--- a/tests/unit/test_halls.py
+++ b/tests/unit/test_halls.py
@@ -14,9 +14,9 @@
     backends,
     evacuations,
 )
-from dykemast._internal.serving.knowledge.follower import (
-    take_changes,
-    take_listing,
+from dykemast._internal.serving.knowledge.updates import (
+    apply_changes,
+    apply_listing,
 )
 from dykemast._internal.serving.process.entry import is_ready
 from dykemast._internal.serving.requests.refusals import RefusedError
@@ -40,8 +40,12 @@
     return BackendServer(name, name, 'llm', Endpoint('h', 1), hall, 8, False)
 
 
-def list_names(board: ServingBoard, *homes: frozenset[str]) -> list[str]:
-    return [one.name for one in backends.list_allowed(board, 'llm', homes)]
+def list_names(
+    board: ServingBoard, *allowed_regions: frozenset[str]
+) -> list[str]:
+    return [
+        one.name for one in backends.list_allowed(board, 'llm', allowed_regions)
+    ]
 
 
 def is_refused(board: ServingBoard) -> bool:
@@ -54,47 +58,47 @@
 
 def test_nobody_decides_without_knowing_which_halls_are_emptied() -> None:
     board = make_promising_board()
-    board.store_away_since = read_clock()
+    board.store_unavailable_since = read_clock()
     # Also while the store is away: nothing was known that could stay in force.
     assert is_refused(board)
     assert not is_ready(board)
-    evacuations.take_evacuations(board, Evacuations(7), 'store')
+    evacuations.apply_evacuations(board, Evacuations(7), 'store')
     assert not is_refused(board)
-    board.store_away_since = 0
-    board.checked_at[EVACUATION_KIND] = read_clock() - PROMISED
+    board.store_unavailable_since = 0
+    board.last_read_at[EVACUATION_KIND] = read_clock() - PROMISED
     assert is_refused(board)
-    board.checked_at[EVACUATION_KIND] = read_clock() - PROMISED / 2
+    board.last_read_at[EVACUATION_KIND] = read_clock() - PROMISED / 2
     assert not is_refused(board)
 
 
 def test_older_word_of_halls_changes_nothing() -> None:
     board = make_promising_board()
     for server in (make_backend('a', 'north'), make_backend('b', 'south')):
-        backends.take_server(board, server)
+        backends.add_server(board, server)
     emptied = Evacuations(9, frozenset(('south',)))
-    evacuations.take_evacuations(board, emptied, 'store')
-    evacuations.take_evacuations(board, Evacuations(8), 'node-1')
+    evacuations.apply_evacuations(board, emptied, 'store')
+    evacuations.apply_evacuations(board, Evacuations(8), 'node-1')
     assert list_names(board) == ['a']
-    evacuations.take_evacuations(board, Evacuations(10), 'node-1')
+    evacuations.apply_evacuations(board, Evacuations(10), 'node-1')
     assert list_names(board) == ['a', 'b']
 
 
 def test_asked_for_again_within_one_watch() -> None:
     board = make_promising_board()
-    follower = evacuations.make_follower(board)
+    updater = evacuations.make_updater(board)
     asked = StoreObject('south', 1, {})
-    take_listing(follower, Listing([asked], 1))
+    apply_listing(updater, Listing([asked], 1))
     events = [Event(asked, removed=True), Event(asked, removed=False)]
-    take_changes(follower, Changes(events, 3))
+    apply_changes(updater, Changes(events, 3))
     assert board.evacuations.halls == {'south'}
-    take_changes(follower, Changes([Event(asked, removed=True)], 4))
+    apply_changes(updater, Changes([Event(asked, removed=True)], 4))
     assert not board.evacuations.halls
 
 
 def test_homes_bind_together() -> None:
     board = make_promising_board()
     for server in (make_backend('a', 'north'), make_backend('b', 'south')):
-        backends.take_server(board, server)
+        backends.add_server(board, server)
     home, abroad = frozenset(('home',)), frozenset(('abroad',))
     assert list_names(board, home) == ['a']
     assert not list_names(board, home, abroad)
@@ -106,8 +110,8 @@
     # Each name stands in all news of all routers: whoever writes a thousand
     # there makes every exchange longer, for good. All 1,001 were kept.
     board = make_promising_board()
-    follower = evacuations.make_follower(board)
+    updater = evacuations.make_updater(board)
     names = [f'{number}'.rjust(100, 'x') for number in range(1000)]
     found = [StoreObject(name, 1, {}) for name in (*names, 'south')]
-    take_listing(follower, Listing(found, 1))
+    apply_listing(updater, Listing(found, 1))
     assert board.evacuations.halls == {'south'}
--- a/tests/unit/test_homes.py
+++ b/tests/unit/test_homes.py
@@ -1,19 +1,22 @@
 """Entry answers for hosts whose routes have homes."""
 
 from dykemast._internal.models.deployment import Endpoint
-from dykemast._internal.models.news import Strain
-from dykemast._internal.operations.entry_choice import EntryOption, keep_homes
+from dykemast._internal.models.gossip import RouterLoad
+from dykemast._internal.operations.entry_choice import (
+    EntryOption,
+    filter_by_region,
+)
 
 
 def make_option(port: int, region: str) -> EntryOption:
-    return EntryOption(Endpoint('h', port), Strain(), region)
+    return EntryOption(Endpoint('h', port), RouterLoad(), region)
 
 
 def test_entry_answers_stay_at_home_while_a_router_is_there() -> None:
     here, there = make_option(1, 'home'), make_option(2, 'abroad')
     both = [here, there]
-    homes = [frozenset(('home',))]
-    assert keep_homes(both, homes, 'home') == [here]
-    assert keep_homes(both, homes, 'abroad') == both
-    assert keep_homes(both, [], 'home') == both
-    assert keep_homes([there], homes, 'home') == [there]
+    allowed_regions = [frozenset(('home',))]
+    assert filter_by_region(both, allowed_regions, 'home') == [here]
+    assert filter_by_region(both, allowed_regions, 'abroad') == both
+    assert filter_by_region(both, [], 'home') == both
+    assert filter_by_region([there], allowed_regions, 'home') == [there]
--- a/tests/unit/test_knowledge_age.py
+++ b/tests/unit/test_knowledge_age.py
@@ -9,14 +9,14 @@
 import time
 from typing import Any
 
-from dykemast._internal.operations.knowledge import Knowledge, is_read_late
+from dykemast._internal.operations.freshness import Freshness, is_read_late
 from dykemast._internal.platform.configuration import CONFIGURATION_KIND
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.knowledge.configuration import (
-    take_configuration,
+    apply_configuration,
 )
-from dykemast._internal.serving.knowledge import ages, currency
-from dykemast._internal.serving.members import peer_fetches, peer_news
+from dykemast._internal.serving.knowledge import ages, freshness
+from dykemast._internal.serving.members import peer_fetches, gossip_messages
 from dykemast._internal.serving.state.loads import make_loads
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_boards
@@ -28,29 +28,29 @@
 
 def test_news_that_waited_do_not_make_old_knowledge_young() -> None:
     board, peer = make_boards(2)
-    peer.checked_at[CONFIGURATION_KIND] = read_clock()
-    read_at = peer.checked_at[CONFIGURATION_KIND]
-    news = peer_news.PeerNews(peer, make_loads()).write_news()
+    peer.last_read_at[CONFIGURATION_KIND] = read_clock()
+    read_at = peer.last_read_at[CONFIGURATION_KIND]
+    message = gossip_messages.GossipMessages(peer, make_loads()).build_message()
     time.sleep(WAITED)
-    peer_news.PeerNews(board, make_loads()).take_news(news)
+    gossip_messages.GossipMessages(board, make_loads()).apply_message(message)
     least = read_clock() - read_at
-    assert ages.measure_age(board, CONFIGURATION_KIND) >= least
+    assert ages.compute_age(board, CONFIGURATION_KIND) >= least
 
 
-def make_known(**fields: Any) -> Knowledge:
-    known = Knowledge(1, 2, outdated=False, store_away=False)
+def make_known(**fields: Any) -> Freshness:
+    known = Freshness(1, 2, outdated=False, store_away=False)
     return known._replace(**fields)
 
 
 def test_what_is_current_decides() -> None:
     known = make_known()
     assert known.may_serve()
-    assert known.may_refuse_for_good()
+    assert known.may_refuse_permanently()
 
 
 def test_what_may_be_outdated_refuses_nothing_for_good() -> None:
-    assert not make_known(age=3).may_refuse_for_good()
-    assert not make_known(outdated=True).may_refuse_for_good()
+    assert not make_known(age=3).may_refuse_permanently()
+    assert not make_known(outdated=True).may_refuse_permanently()
     assert make_known(outdated=True).may_serve()
 
 
@@ -58,7 +58,7 @@
     assert not make_known(age=3).may_serve()
     away = make_known(age=3, store_away=True)
     assert away.may_serve()
-    assert not away.may_refuse_for_good()
+    assert not away.may_refuse_permanently()
 
 
 def test_a_read_is_late_by_the_store_or_by_this_router() -> None:
@@ -72,22 +72,26 @@
 def test_a_peer_that_is_asked_tells_how_old_knowledge_is() -> None:
     board, peer = make_boards(2)
     asked_at = read_clock()
-    peer.checked_at[CONFIGURATION_KIND] = asked_at - 1
-    body = peer_news.PeerNews(peer, make_loads()).write_news()
-    news = peer_news.PeerNews(board, make_loads()).take_news(body)
-    assert news
+    peer.last_read_at[CONFIGURATION_KIND] = asked_at - 1
+    body = gossip_messages.GossipMessages(peer, make_loads()).build_message()
+    message = gossip_messages.GossipMessages(board, make_loads()).apply_message(
+        body
+    )
+    assert message
     time.sleep(WAITED)
-    peer_fetches.note_ages(board, news, asked_at)
-    assert 1 + WAITED <= ages.measure_age(board, CONFIGURATION_KIND) <= 2
+    peer_fetches.record_peer_ages(board, message, asked_at)
+    assert 1 + WAITED <= ages.compute_age(board, CONFIGURATION_KIND) <= 2
 
 
 def test_a_newer_version_that_is_told_of_ends_refusals_for_good() -> None:
     board, peer = make_boards(2)
     stored = StoreObject('main', 9, make_configuration(version=9))
-    take_configuration(peer, stored, 'store')
-    board.checked_at[CONFIGURATION_KIND] = read_clock()
-    assert currency.know_configuration(board).may_refuse_for_good()
-    peer_news.PeerNews(board, make_loads()).take_news(
-        peer_news.PeerNews(peer, make_loads()).write_news()
+    apply_configuration(peer, stored, 'store')
+    board.last_read_at[CONFIGURATION_KIND] = read_clock()
+    assert freshness.get_configuration_freshness(board).may_refuse_permanently()
+    gossip_messages.GossipMessages(board, make_loads()).apply_message(
+        gossip_messages.GossipMessages(peer, make_loads()).build_message()
     )
-    assert not currency.know_configuration(board).may_refuse_for_good()
+    assert not freshness.get_configuration_freshness(
+        board
+    ).may_refuse_permanently()
--- a/tests/unit/test_large_fleet.py
+++ b/tests/unit/test_large_fleet.py
@@ -1,7 +1,7 @@
 """Rules for fleets in which not every router deals with every other."""
 
 from dykemast._internal.models.caller_request import PromptPart
-from dykemast._internal.models.news import ServerLoad
+from dykemast._internal.models.gossip import ServerLoad
 from dykemast._internal.operations.absent_servers import AbsentServers
 from dykemast._internal.operations.peer_loads import (
     MAX_RELAYED_ROUTERS,
@@ -49,17 +49,17 @@
     peers = list(board.peers.values())
     now = read_clock()
     for number, peer in enumerate(peers):
-        peer.met_at = now - 100 + number
+        peer.last_exchange_at = now - 100 + number
     assert choose_partners(board) == peers[:PEERS_IN_LARGE_FLEET]
 
 
 def test_a_silent_peer_is_tried_as_well() -> None:
     board = make_boards(40)[0]
     silent = list(board.peers.values())[-1]
-    silent.heard_at = 0
+    silent.last_heard_at = 0
     assert silent in choose_partners(board)
     for peer in board.peers.values():
-        peer.heard_at = 0
+        peer.last_heard_at = 0
     assert len(choose_partners(board)) == PEERS_IN_LARGE_FLEET
 
 
--- a/tests/unit/test_load_sums.py
+++ b/tests/unit/test_load_sums.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from dykemast._internal.models.news import ServerLoad
+from dykemast._internal.models.gossip import ServerLoad
 from dykemast._internal.operations import peer_loads
 
 SIZES = (30, 300, 1000)
--- a/tests/unit/test_members.py
+++ b/tests/unit/test_members.py
@@ -48,9 +48,9 @@
     # The removal by the process before, without an answer, may take effect
     # after the next process has listed itself; it did so once only.
     store, board = EntryStore(), make_board()
-    await own_entry.list_self(board, store)
+    await own_entry.register_self(board, store)
     await store.delete()
-    await members.read_peers(board, store)
+    await members.refresh_peers(board, store)
     assert set(store.entries) == {'node-0'}
 
 
@@ -59,11 +59,11 @@
     # written by the loop that lists the router, and stayed.
     store, board = EntryStore(), make_board()
     store.is_away = True
-    work = asyncio.create_task(members.keep_listed(board, store))
+    work = asyncio.create_task(members.keep_registered(board, store))
     await asyncio.sleep(LOOK)
     board.stopping = True
     store.is_away = False
-    await asyncio.sleep(2 * members.RETRY_PAUSE)
+    await asyncio.sleep(2 * members.RETRY_PAUSE_S)
     work.cancel()
     assert not store.entries
 
@@ -73,8 +73,8 @@
     board = make_board()
     board.settings = board.settings._replace(first_start=first)
     store.calls.clear()
-    work = asyncio.create_task(members.keep_listed(board, store))
-    await asyncio.sleep(members.START_PAUSE + LOOK)
+    work = asyncio.create_task(members.keep_registered(board, store))
+    await asyncio.sleep(members.START_PAUSE_S + LOOK)
     work.cancel()
     return store.calls
 
@@ -91,8 +91,8 @@
 
 async def test_an_entry_is_written_whether_or_not_there_is_one() -> None:
     store, board = EntryStore(), make_board()
-    await own_entry.list_self(board, store)
+    await own_entry.register_self(board, store)
     assert store.calls == ['replace', 'create']
     board.settings = board.settings._replace(first_start=True)
-    await own_entry.list_self(board, store)
+    await own_entry.register_self(board, store)
     assert store.calls[2:] == ['create', 'replace']
--- a/tests/unit/test_news_rounds.py
+++ b/tests/unit/test_news_rounds.py
@@ -22,24 +22,24 @@
         self.heard = 0
         self.late = 0
 
-    async def talk(self, peer: Peer) -> None:
-        if peer.heard_at:
+    async def exchange_with(self, peer: Peer) -> None:
+        if peer.last_heard_at:
             self.heard += 1
             return
         self.late += 1
-        await asyncio.sleep(gossip.CALL_TIMEOUT)
+        await asyncio.sleep(gossip.CALL_TIMEOUT_S)
 
 
 async def test_a_peer_that_is_away_delays_no_round() -> None:
     board = make_boards(3)[0]
-    board.peers['node-2'].heard_at = 0
+    board.peers['node-2'].last_heard_at = 0
     talks = SlowTalks()
-    work = asyncio.create_task(gossip.spread_news(board, talks))
+    work = asyncio.create_task(gossip.run_gossip(board, talks))
     await asyncio.sleep(WATCHED)
     work.cancel()
     # Two were told in a second before.
     rounds = WATCHED / (
-        gossip_partners.ROUND_PAUSE + gossip_partners.ROUND_JITTER
+        gossip_partners.ROUND_INTERVAL_S + gossip_partners.ROUND_JITTER_S
     )
     assert talks.heard >= int(rounds)
     assert talks.late >= int(rounds), 'and the silent one is tried each time'
@@ -48,7 +48,7 @@
 class BrokenTalks:
     """Exchanges that fail as nobody expects."""
 
-    async def talk(self, peer: Peer) -> None:
+    async def exchange_with(self, peer: Peer) -> None:
         raise AttributeError(peer.card.instance)
 
 
@@ -56,7 +56,7 @@
     board = make_boards(2)[0]
     try:
         async with asyncio.timeout(WATCHED):
-            await gossip.spread_news(board, BrokenTalks())
+            await gossip.run_gossip(board, BrokenTalks())
     except ExceptionGroup as errors:
         assert errors.subgroup(AttributeError)
     else:
--- a/tests/unit/test_news_size.py
+++ b/tests/unit/test_news_size.py
@@ -5,9 +5,9 @@
 users ask for 4 KB/s.
 """
 
-from dykemast._internal.models.news import ServerLoad
+from dykemast._internal.models.gossip import ServerLoad
 from dykemast._internal.operations.peer_loads import MAX_RELAYED_ROUTERS
-from dykemast._internal.serving.members.peer_news import PeerNews
+from dykemast._internal.serving.members.gossip_messages import GossipMessages
 from dykemast._internal.serving.state.loads import make_loads
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_board, make_boards
@@ -16,7 +16,7 @@
 SERVERS_EACH = 4
 
 
-def make_busy_news(routers: int) -> PeerNews:
+def make_busy_news(routers: int) -> GossipMessages:
     """Make the news of a router in a fleet where all have requests."""
     boards = make_boards(routers)
     loads = make_loads()
@@ -27,22 +27,24 @@
             for server in range(SERVERS_EACH)
         ]
         loads.peers.merge(f'node-{number}', tuple(told), now)
-    return PeerNews(boards[0], loads)
+    return GossipMessages(boards[0], loads)
 
 
 def test_news_of_a_large_fleet_are_small() -> None:
-    assert len(make_busy_news(195).write_news()) < MOST_BYTES
+    assert len(make_busy_news(195).build_message()) < MOST_BYTES
 
 
 def test_news_are_read_as_they_were_written() -> None:
-    body = make_busy_news(195).write_news()
-    news = PeerNews(make_board('node-999'), make_loads()).take_news(body)
-    assert news.card.instance == 'node-0'
-    assert len(news.relayed) == MAX_RELAYED_ROUTERS
-    assert {len(one.loads) for one in news.relayed} == {SERVERS_EACH}
+    body = make_busy_news(195).build_message()
+    message = GossipMessages(
+        make_board('node-999'), make_loads()
+    ).apply_message(body)
+    assert message.card.instance == 'node-0'
+    assert len(message.relayed) == MAX_RELAYED_ROUTERS
+    assert {len(one.loads) for one in message.relayed} == {SERVERS_EACH}
 
 
 def test_news_that_make_no_sense_are_passed_over() -> None:
-    reader = PeerNews(make_board(), make_loads())
-    for body in (b'', b'no news', make_busy_news(30).write_news()[:-9]):
-        assert reader.take_news(body) is None
+    reader = GossipMessages(make_board(), make_loads())
+    for body in (b'', b'no news', make_busy_news(30).build_message()[:-9]):
+        assert reader.apply_message(body) is None
--- a/tests/unit/test_overload_gate.py
+++ b/tests/unit/test_overload_gate.py
@@ -1,15 +1,15 @@
 """A router without processor time refuses at once, and says so to others."""
 
-from dykemast._internal.models.news import Strain
+from dykemast._internal.models.gossip import RouterLoad
 from dykemast._internal.operations.loop_watch import WATCH_PAUSE
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.admission import gates, lookups
 from dykemast._internal.serving.knowledge.configuration import (
-    take_configuration,
+    apply_configuration,
 )
-from dykemast._internal.serving.members.strain import (
-    measure_strain,
-    sheds_callers,
+from dykemast._internal.serving.members.load_measurement import (
+    measure_router_load,
+    should_close_connections,
 )
 from dykemast._internal.serving.requests.refusals import (
     RefusalCode,
@@ -22,18 +22,18 @@
 
 #: Seconds by which the loop is late at each note.
 LATE = 0.5
-FREE = Strain(10, 1)
-BUSY = Strain(10, 20)
+FREE = RouterLoad(10, 1)
+BUSY = RouterLoad(10, 20)
 
 
-def make_board(strain: Strain, late: float) -> ServingBoard:
+def make_board(router_load: RouterLoad, late: float) -> ServingBoard:
     """Make the blackboard of a router with one peer, and a late loop."""
     board, _ = make_boards(2)
     for peer in board.peers.values():
-        peer.strain = strain
+        peer.router_load = router_load
     now = read_clock()
     for kind in ('config', 'servers'):
-        board.checked_at[kind] = now
+        board.last_read_at[kind] = now
     for past in range(10, -1, -1):
         board.watch.note(now - past * (WATCH_PAUSE + late))
     return board
@@ -50,7 +50,7 @@
 def test_a_router_in_time_takes_requests() -> None:
     board = make_board(FREE, 0)
     assert refuse(board) is None
-    assert not sheds_callers(board)
+    assert not should_close_connections(board)
 
 
 def test_a_router_without_time_sends_callers_elsewhere_at_once() -> None:
@@ -60,13 +60,13 @@
     assert error.code == RefusalCode.overloaded
     assert error.code.value.status == 503
     assert error.retry_after == gates.ELSEWHERE_RETRY
-    assert sheds_callers(board)
-    assert measure_strain(board).is_exceeded()
+    assert should_close_connections(board)
+    assert measure_router_load(board).exceeds_capacity()
 
 
 def test_no_request_is_looked_at_without_time_for_it() -> None:
     board = make_board(FREE, LATE)
-    take_configuration(
+    apply_configuration(
         board, StoreObject('main', 9, make_configuration()), 'store'
     )
     try:
--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -2,11 +2,11 @@
 
 from dykemast._internal.blackboard import Fleet
 from dykemast._internal.models.fleet import Instance, PeerCard
-from dykemast._internal.operations.instance_list import note_list
+from dykemast._internal.operations.instance_list import record_listing
 from dykemast._internal.operations.peers import (
     list_peers,
-    note_card,
-    note_silence,
+    record_card,
+    mark_unreachable,
 )
 
 NAMES = ('node-0', 'node-1')
@@ -32,9 +32,9 @@
 def make_fleet() -> Fleet:
     """Make a fleet of two routers that are listed and were just heard."""
     fleet = Fleet()
-    note_list(fleet, [make_instance(name) for name in NAMES], 0)
+    record_listing(fleet, [make_instance(name) for name in NAMES], 0)
     for name in NAMES:
-        note_card(fleet, make_card(name), 1, 0)
+        record_card(fleet, make_card(name), 1, 0)
     return fleet
 
 
@@ -48,17 +48,17 @@
     # tries of 400 requests met nobody, and one request all of its six.
     fleet = make_fleet()
     assert list_names(fleet, 1) == list(NAMES)
-    note_list(fleet, [make_instance('node-1')], 1)
+    record_listing(fleet, [make_instance('node-1')], 1)
     assert list_names(fleet, 1) == ['node-1']
 
 
 def test_a_router_that_is_not_listed_yet_is_expected() -> None:
     fleet = make_fleet()
-    note_card(fleet, make_card('node-2'), 1, 1)
+    record_card(fleet, make_card('node-2'), 1, 1)
     assert list_names(fleet, 1) == [*NAMES, 'node-2']
 
 
 def test_a_router_that_did_not_answer_is_not_expected() -> None:
     fleet = make_fleet()
-    note_silence(fleet, 'node-0')
+    mark_unreachable(fleet, 'node-0')
     assert list_names(fleet, 1) == ['node-1']
--- a/tests/unit/test_readiness.py
+++ b/tests/unit/test_readiness.py
@@ -23,9 +23,9 @@
 def test_a_router_that_has_not_read_the_servers_is_not_ready() -> None:
     board = make_board()
     board.table = SimpleNamespace(version=1)
-    board.checked_at[CONFIGURATION_KIND] = read_clock()
+    board.last_read_at[CONFIGURATION_KIND] = read_clock()
     assert not lets_in(board)
     assert not is_ready(board)
-    board.checked_at[SERVER_KIND] = read_clock()
+    board.last_read_at[SERVER_KIND] = read_clock()
     assert lets_in(board)
     assert is_ready(board)
--- a/tests/unit/test_send_checks.py
+++ b/tests/unit/test_send_checks.py
@@ -6,8 +6,10 @@
 from dykemast._internal.models.backend import BackendServer, Backpressure
 from dykemast._internal.models.forwarding import ResponseHead
 from dykemast._internal.operations.shared_rate_limiter import SharedRateLimiter
-from dykemast._internal.serving.knowledge.backends import take_server
-from dykemast._internal.serving.knowledge.backpressure import note_asks
+from dykemast._internal.serving.knowledge.backends import add_server
+from dykemast._internal.serving.knowledge.backpressure import (
+    record_backpressure,
+)
 from dykemast._internal.serving.sending.send_checks import (
     check_send,
     compute_wait,
@@ -43,13 +45,13 @@
     """Make a board that knows one server and no other router."""
     board = make_board()
     board.peers_read.set()
-    take_server(board, SERVER)
+    add_server(board, SERVER)
     return board
 
 
 def answer(board: ServingBoard, **backpressure: float) -> None:
     asked = Backpressure(**backpressure)
-    note_asks(board, SERVER, TURNED_AWAY._replace(backpressure=asked))
+    record_backpressure(board, SERVER, TURNED_AWAY._replace(backpressure=asked))
 
 
 def measure(board: ServingBoard) -> float:
--- a/tests/unit/test_server_lists.py
+++ b/tests/unit/test_server_lists.py
@@ -7,18 +7,18 @@
 from dykemast._internal.platform.store_types import Listing, StoreObject
 from dykemast._internal.serving.knowledge import server_lists
 from dykemast._internal.serving.knowledge.backends import (
-    AWAY_GAP,
-    LAPSE_PAUSE,
-    LAPSE_TIME,
-    forget_lapsed,
+    STORE_OUTAGE_GAP_S,
+    EXPIRED_CHECK_INTERVAL_S,
+    EXPIRED_GRACE_S,
+    remove_expired,
     list_usable,
 )
-from dykemast._internal.serving.knowledge.server_entries import make_follower
+from dykemast._internal.serving.knowledge.server_entries import make_updater
 from dykemast._internal.serving.state.board import ServingBoard
-from dykemast._internal.serving.knowledge.follower import take_listing
-from dykemast._internal.serving.knowledge.followers import (
+from dykemast._internal.serving.knowledge.updates import apply_listing
+from dykemast._internal.serving.knowledge.watches import (
     MAX_WATCHERS,
-    has_turn,
+    is_watcher,
 )
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_board, make_boards
@@ -36,7 +36,7 @@
 
 
 def read_list(board: ServingBoard, revision: int, *found: StoreObject) -> None:
-    take_listing(make_follower(board), Listing(list(found), revision))
+    apply_listing(make_updater(board), Listing(list(found), revision))
 
 
 def list_names(board: ServingBoard) -> set[str]:
@@ -48,7 +48,7 @@
     board = make_board()
     leaving = make_entry('c', 3, 'draining')
     read_list(board, 9, make_entry('a', 1), make_entry('b', 2), leaving)
-    board.checked_at[SERVER_KIND] = read_clock() - read_ago
+    board.last_read_at[SERVER_KIND] = read_clock() - read_ago
     return board
 
 
@@ -61,57 +61,57 @@
 def test_entries_that_lapsed_while_the_store_was_away_stay_a_while() -> None:
     # All entries are gone after an outage of some seconds, and most are
     # back within two: no router may be without a server meanwhile.
-    board = make_known(read_ago=AWAY_GAP + 1)
+    board = make_known(read_ago=STORE_OUTAGE_GAP_S + 1)
     read_list(board, 10)
     assert list_names(board) == {'a', 'b'}
-    assert set(board.lapsed) == {'a', 'b'}
+    assert set(board.expired_until) == {'a', 'b'}
     assert 'c' not in board.servers, 'it was leaving already'
     read_list(board, 11, make_entry('a', 11))
-    assert set(board.lapsed) == {'b'}
+    assert set(board.expired_until) == {'b'}
 
 
 def test_a_lapsed_entry_that_does_not_come_back_is_gone() -> None:
-    board = make_known(read_ago=AWAY_GAP + 1)
+    board = make_known(read_ago=STORE_OUTAGE_GAP_S + 1)
     read_list(board, 10, make_entry('a', 1))
-    assert board.lapsed['b'] <= read_clock() + LAPSE_TIME
-    board.lapsed['b'] = 0
+    assert board.expired_until['b'] <= read_clock() + EXPIRED_GRACE_S
+    board.expired_until['b'] = 0
 
     async def look_once() -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(2 * LAPSE_PAUSE):
-                await forget_lapsed(board)
+            async with asyncio.timeout(2 * EXPIRED_CHECK_INTERVAL_S):
+                await remove_expired(board)
 
     asyncio.run(look_once())
     assert list_names(board) == {'a'}
-    assert not board.lapsed
+    assert not board.expired_until
 
 
 def test_a_newer_list_passes_from_router_to_router() -> None:
     first, second = make_board('node-0'), make_board('node-1')
     read_list(first, 9, make_entry('a', 1))
     read_list(second, 8, make_entry('b', 2))
-    second.checked_at[SERVER_KIND] = read_clock()
+    second.last_read_at[SERVER_KIND] = read_clock()
     assert server_lists.is_behind(second, first.server_state)
     assert not server_lists.is_behind(first, second.server_state)
-    body = server_lists.write_newer(first, second.server_state.revision)
-    server_lists.take_from_peer(second, body, 'node-0')
+    body = server_lists.encode_newer(first, second.server_state.revision)
+    server_lists.apply_peer_copy(second, body, 'node-0')
     assert list_names(second) == {'a'}
     assert second.server_state == first.server_state
-    assert not server_lists.write_newer(first, 9)
+    assert not server_lists.encode_newer(first, 9)
 
 
 def test_an_older_list_or_none_changes_nothing() -> None:
     first, second = make_board('node-0'), make_board('node-1')
     read_list(first, 9, make_entry('a', 1))
-    body = server_lists.write_newer(first, 0)
+    body = server_lists.encode_newer(first, 0)
     read_list(second, 10, make_entry('b', 2))
-    server_lists.take_from_peer(second, body, 'node-0')
-    server_lists.take_from_peer(second, b'no list', 'node-0')
+    server_lists.apply_peer_copy(second, body, 'node-0')
+    server_lists.apply_peer_copy(second, b'no list', 'node-0')
     assert list_names(second) == {'b'}
 
 
 def test_a_few_routers_watch_for_all() -> None:
     boards = make_boards(20)
-    watching = [has_turn(board, SERVER_KIND) for board in boards]
+    watching = [is_watcher(board, SERVER_KIND) for board in boards]
     assert sum(watching) == MAX_WATCHERS
-    assert has_turn(make_board(), SERVER_KIND), 'alone'
+    assert is_watcher(make_board(), SERVER_KIND), 'alone'
--- a/tests/unit/test_server_starts.py
+++ b/tests/unit/test_server_starts.py
@@ -8,15 +8,15 @@
 from types import MappingProxyType
 from typing import Any, Final
 
-from dykemast._internal.models.news import AbsentServer, ServerLoad
+from dykemast._internal.models.gossip import AbsentServer, ServerLoad
 from dykemast._internal.platform.store_types import Listing, StoreObject
 from dykemast._internal.serving.knowledge import server_lists
 from dykemast._internal.serving.knowledge.backends import (
     list_usable,
-    note_leaving,
+    mark_leaving,
 )
-from dykemast._internal.serving.knowledge.follower import take_listing
-from dykemast._internal.serving.knowledge.server_entries import make_follower
+from dykemast._internal.serving.knowledge.updates import apply_listing
+from dykemast._internal.serving.knowledge.server_entries import make_updater
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.state.loads import make_loads, compute_load
 from dykemast._internal.utils.clock import read_clock
@@ -36,7 +36,7 @@
 def read_entry(board: ServingBoard, revision: int, **fields: Any) -> None:
     """Read a list with one server, as written at a revision."""
     stored = StoreObject('i-1', revision, {**ENTRY, **fields})
-    take_listing(make_follower(board), Listing([stored], revision))
+    apply_listing(make_updater(board), Listing([stored], revision))
 
 
 def uses(board: ServingBoard, *names: str) -> bool:
@@ -97,7 +97,7 @@
     read_entry(board, 1, born=1000)
     now = read_clock()
     read_entry(board, 2, born=2000)
-    note_leaving(board, ['i-1/1000'], 'node-1')
+    mark_leaving(board, ['i-1/1000'], 'node-1')
     loads.absent.merge([AbsentServer('i-1/1000', 4)], now)
     loads.peers.merge('node-1', (ServerLoad('i-1/1000', 9, 5000),), now)
     assert uses(board, 'i-1/2000')
@@ -109,8 +109,8 @@
     first, second = make_boards(2)
     read_entry(first, 1, born=1000, state='draining')
     read_entry(first, 5, born=2000)
-    server_lists.take_from_peer(
-        second, server_lists.write_newer(first, 0), 'node-0'
+    server_lists.apply_peer_copy(
+        second, server_lists.encode_newer(first, 0), 'node-0'
     )
     assert uses(first, 'i-1/2000')
     assert uses(second, 'i-1/2000')
@@ -119,8 +119,8 @@
 def test_a_start_that_lapsed_is_not_kept_beside_the_next() -> None:
     board = make_board()
     read_entry(board, 1, born=1000)
-    take_listing(make_follower(board), Listing([], 2))
-    assert set(board.lapsed) == {'i-1/1000'}
+    apply_listing(make_updater(board), Listing([], 2))
+    assert set(board.expired_until) == {'i-1/1000'}
     read_entry(board, 3, born=2000)
     assert uses(board, 'i-1/2000')
-    assert not board.lapsed
+    assert not board.expired_until
--- a/tests/unit/test_serving_rules.py
+++ b/tests/unit/test_serving_rules.py
@@ -1,7 +1,7 @@
 """Rules of the program for the users' platform, without input and output."""
 
 from dykemast._internal.models.caller_request import PromptPart
-from dykemast._internal.models.news import ServerLoad
+from dykemast._internal.models.gossip import ServerLoad
 from dykemast._internal.operations.own_loads import OwnLoads
 from dykemast._internal.operations.peer_loads import PeerLoads
 from dykemast._internal.operations.prompt_caches import PromptCache
--- a/tests/unit/test_stranded_budgets.py
+++ b/tests/unit/test_stranded_budgets.py
@@ -59,7 +59,7 @@
     board = make_boards(ROUTERS)[0]
     account = find_kept_elsewhere(board)
     keeper = find_owner(board, account.workspace)
-    board.peers[keeper.instance].budgets_away = keeper_away
+    board.peers[keeper.instance].budget_write_failed = keeper_away
     writer = Writer()
     source = TokenSource(board, writer, Gossip(lends))
     asyncio.run(source.find(account))
--- a/tools/serving_mutations.py
+++ b/tools/serving_mutations.py
@@ -187,9 +187,9 @@
     Mutation(
         'know of changes by watches alone',
         'configuration in force in time',
-        f'{_INTERNAL}/serving/knowledge/freshness.py',
-        'if is_due(board, checked):',
-        'if not board.checked_at.get(checked.follower.kind):',
+        f'{_INTERNAL}/serving/knowledge/periodic_reads.py',
+        'if is_read_due(board, periodic_read):',
+        'if not board.last_read_at.get(periodic_read.updater.kind):',
         'test_changes_reach',
     ),
     Mutation(
@@ -219,16 +219,16 @@
     Mutation(
         'refuse for good by an old configuration',
         'an accepted configuration is in force within seconds',
-        f'{_INTERNAL}/operations/knowledge.py',
-        'return self.is_in_time() and not self.outdated',
+        f'{_INTERNAL}/operations/freshness.py',
+        'return self.is_within_bound() and not self.outdated',
         'return True',
         'test_knowledge_age',
     ),
     Mutation(
         'serve by old knowledge though the store answers',
         'an accepted configuration is in force within seconds',
-        f'{_INTERNAL}/operations/knowledge.py',
-        'return self.is_in_time() or self.store_away',
+        f'{_INTERNAL}/operations/freshness.py',
+        'return self.is_within_bound() or self.store_away',
         'return True',
         'test_knowledge_age',
     ),
@@ -236,8 +236,8 @@
         'count the age in news from when they are read',
         'an accepted configuration is in force within seconds',
         f'{_INTERNAL}/serving/knowledge/ages.py',
-        'board.checked_at[kind] = max(known, asked_at - age)',
-        'board.checked_at[kind] = max(known, read_clock() - age)',
+        'board.last_read_at[kind] = max(known, asked_at - age)',
+        'board.last_read_at[kind] = max(known, read_clock() - age)',
         'test_knowledge_age',
     ),
     Mutation(
@@ -251,9 +251,9 @@
     Mutation(
         'use a server whose entry makes no sense any more',
         'an entry that names no server is not used',
-        f'{_INTERNAL}/serving/knowledge/follower.py',
-        'follower.drop_unusable(stored.name)',
-        'follower.note_revision(stored.revision)',
+        f'{_INTERNAL}/serving/knowledge/updates.py',
+        'updater.remove_invalid(stored.name)',
+        'updater.record_revision(stored.revision)',
         'unit.test_foreign_entries',
     ),
     Mutation(
@@ -299,7 +299,7 @@
     Mutation(
         'tell no other router of an overload',
         'callers are told in time',
-        f'{_INTERNAL}/serving/members/strain.py',
+        f'{_INTERNAL}/serving/members/load_measurement.py',
         'rate = max(rate, OVERLOAD_FACTOR * carried)',
         'rate = max(rate, float())',
         'test_overload_gate',
--- a/tools/slope_times.py
+++ b/tools/slope_times.py
@@ -17,7 +17,7 @@
     worker_load,
 )
 from dykemast._internal.operations.budget_shard import apply_intent
-from dykemast._internal.operations.news import choose_news
+from dykemast._internal.operations.news import choose_cards
 from tools import slope_worlds as worlds
 
 #: Things of each kind that are made.
@@ -85,7 +85,7 @@
 def time_news() -> Iterator[Slope]:
     """Measure the exchange among routers."""
     fleet = worlds.make_fleet(ROUTERS)
-    views = choose_news(fleet, 1, random.Random(1))
+    views = choose_cards(fleet, 1, random.Random(1))
     # Its own card goes along.
     views.append(views[0])
     cards = [peer_codec.pack_view(view) for view in views]
@@ -93,7 +93,7 @@
 
     def note() -> None:
         for beat in range(COUNT):
-            peers.note_card(fleet, views[0].card, beat, 2)
+            peers.record_card(fleet, views[0].card, beat, 2)
 
     yield Slope('card taken in', PROCESSOR, clock(note, COUNT))
     yield Slope('news to one peer', 'bytes sent', len(serialize(news)))
--- a/tools/slope_worlds.py
+++ b/tools/slope_worlds.py
@@ -113,7 +113,7 @@
             7001,
             7002,
         )
-        peers.note_card(fleet, card, 1, 1)
+        peers.record_card(fleet, card, 1, 1)
     return fleet
 
 
