--- a/src/dykemast/_internal/commands/policy.py
+++ b/src/dykemast/_internal/commands/policy.py
@@ -9,8 +9,8 @@
 from dykemast._internal.models.revisions import PolicySpec
 from dykemast._internal.operations.expressions import PolicyError
 from dykemast._internal.operations.findings import check_configuration
-from dykemast._internal.operations.policies import decide
-from dykemast._internal.operations.policy_check import make_sample
+from dykemast._internal.operations.policies import evaluate_policy
+from dykemast._internal.operations.policy_check import make_sample_view
 
 
 def try_policies(path: str, request: str) -> str:
@@ -23,7 +23,7 @@
     """
     text = Path(path).read_text(encoding='utf-8')
     configuration = check_configuration(path, text)
-    view = _merge(make_sample(configuration), _read_view(request))
+    view = _merge(make_sample_view(configuration), _read_view(request))
     return '\n'.join(
         _explain(policy, view) for policy in configuration['policies']
     )
@@ -47,7 +47,7 @@
 def _explain(policy: PolicySpec, view: dict[str, Any]) -> str:
     name = policy['name']
     try:
-        decision = decide(policy, view, str(view['request']['model']))
+        decision = evaluate_policy(policy, view, str(view['request']['model']))
     except PolicyError as error:
         return f'{name}: fails: {error.field}: {error}'
     if not decision.allow:
--- a/src/dykemast/_internal/commands/router.py
+++ b/src/dykemast/_internal/commands/router.py
@@ -12,7 +12,7 @@
 from dykemast._internal.blackboard import Blackboard
 from dykemast._internal.commands.programs import run_main
 from dykemast._internal.controllers.runtime import open_runtime
-from dykemast._internal.models.settings import DEFAULTS, RouterSettings
+from dykemast._internal.models.settings import DEFAULT_SETTINGS, RouterSettings
 from dykemast._internal.utils.yaml_files import read_yaml
 
 _log = logbook.Logger('router')
@@ -28,7 +28,7 @@
     :raises InvalidFileError: when the file has findings.
     """
     given: RouterSettings = read_yaml(path, RouterSettings)
-    settings = RouterSettings(**{**DEFAULTS, **given})
+    settings = RouterSettings(**{**DEFAULT_SETTINGS, **given})
     log_output = logbook.StreamHandler(
         sys.stderr,
         level=settings['log_level'],
--- a/src/dykemast/_internal/controllers/loops.py
+++ b/src/dykemast/_internal/controllers/loops.py
@@ -8,7 +8,11 @@
 from dykemast._internal.controllers.assembly import Assembly
 from dykemast._internal.network.listener_watch import watch_listeners
 from dykemast._internal.network.listeners import Listener
-from dykemast._internal.utils.supervision import Loop, LoopEnd, start_loops
+from dykemast._internal.utils.supervision import (
+    BackgroundLoop,
+    LoopFailure,
+    start_loops,
+)
 
 _log = logbook.Logger('loops')
 
@@ -23,12 +27,16 @@
     :param listeners: its listeners, which are watched as well.
     :returns: the tasks.
     """
-    watch = Loop('watch_listeners', partial(watch_listeners, listeners))
-    loops = [Loop(run.__qualname__, run) for run in assembly.list_loops()]
+    watch = BackgroundLoop(
+        'watch_listeners', partial(watch_listeners, listeners)
+    )
+    loops = [
+        BackgroundLoop(run.__qualname__, run) for run in assembly.list_loops()
+    ]
     return start_loops([*loops, watch], assembly.parts.board.loops, _tell_end)
 
 
-def _tell_end(end: LoopEnd) -> None:
+def _tell_end(end: LoopFailure) -> None:
     _log.error(
         'loops: {} failed and runs again in {:.1f} s: {} in {}',
         end.loop,
--- a/src/dykemast/_internal/controllers/stopping.py
+++ b/src/dykemast/_internal/controllers/stopping.py
@@ -39,9 +39,9 @@
     def is_over(now: float) -> bool:
         if hasten.is_set():
             return True
-        return now > plan.named_until and not board.traffic.inflight
+        return now > plan.advertised_until and not board.traffic.inflight
 
-    await wait_until(is_over, plan.cut_at)
+    await wait_until(is_over, plan.cancel_at)
 
 
 def close_admission(board: Blackboard, plan: StopPlan) -> None:
--- a/src/dykemast/_internal/exceptions.py
+++ b/src/dykemast/_internal/exceptions.py
@@ -57,7 +57,7 @@
         self.current = current
 
 
-class PlatformAwayError(PlatformError):
+class PlatformUnavailableError(PlatformError):
     """No usable answer.
 
     :param refused: whether nothing was done; else a write may or may not
@@ -82,7 +82,7 @@
     """Other routers wrote the object each time; the store is there."""
 
 
-class BudgetNotUsableError(PlatformError):
+class InvalidBudgetError(PlatformError):
     """The row of a budget makes no sense; nothing may be consumed by it."""
 
 
@@ -90,7 +90,7 @@
     """A call to another router failed or was refused."""
 
 
-class NotUsableError(DykemastError):
+class InvalidDataError(DykemastError):
     """What another router sent, or the store holds, makes no sense."""
 
 
@@ -126,7 +126,7 @@
         self.broken = broken
 
 
-class HeldBackError(UpstreamError):
+class BackpressureError(UpstreamError):
     """This router kept a request from a backend server; nothing went out."""
 
     def __init__(self, reason: str) -> None:
--- a/src/dykemast/_internal/models/caller_request.py
+++ b/src/dykemast/_internal/models/caller_request.py
@@ -23,12 +23,12 @@
     :param path: path, decoded.
     :param target: path and query as they were sent.
     :param key: the caller's key; empty when there is none.
-    :param patience: seconds that the caller will wait.
+    :param timeout_s: seconds that the caller will wait.
     :param headers: fields to be passed on.
     :param prompt_tokens: declared length of the prompt; 0 for none.
     :param output_tokens: most tokens to come out; 0 for none.
     :param prompt: parts of the prompt in order.
-    :param after_event: last event that the caller has; empty for none.
+    :param last_event_id: last event that the caller has; empty for none.
     """
 
     request_id: str
@@ -37,9 +37,9 @@
     path: str
     target: str
     key: str
-    patience: float | None
+    timeout_s: float | None
     headers: tuple[tuple[str, str], ...]
     prompt_tokens: int
     output_tokens: int
     prompt: tuple[PromptPart, ...]
-    after_event: str
+    last_event_id: str
--- a/src/dykemast/_internal/models/forwarding.py
+++ b/src/dykemast/_internal/models/forwarding.py
@@ -12,14 +12,14 @@
     :param workspace: who spends; empty on a public route.
     :param time_left_s: time left.
     :param priority: 0 to 9, 0 first; None to leave it out.
-    :param after_event: where a resumed stream goes on; empty for none.
+    :param last_event_id: where a resumed stream goes on; empty for none.
     """
 
     server: str
     workspace: str
     time_left_s: float
     priority: int | None = None
-    after_event: str = ''
+    last_event_id: str = ''
 
 
 class ResponseHead(NamedTuple):
--- a/src/dykemast/_internal/models/requests.py
+++ b/src/dykemast/_internal/models/requests.py
@@ -76,7 +76,7 @@
     retry_after: int = 0
 
 
-class Ask(NamedTuple):
+class RequestContext(NamedTuple):
     """What a caller asks for, apart from the order itself.
 
     :param request: id made by the router.
@@ -84,7 +84,7 @@
     :param key: idempotency key, the caller's or the request id.
     :param repeatable: whether running it twice does no harm.
     :param deadline: seconds on this router's clock by which to be done.
-    :param order: requests with the same non-empty key run in order.
+    :param order_key: requests with the same non-empty key run in order.
     :param budget: budget that the caller names; the policy decides.
     """
 
@@ -93,11 +93,11 @@
     key: str
     repeatable: bool
     deadline: float
-    order: str = ''
+    order_key: str = ''
     budget: str = 'main'
 
 
-class Order(NamedTuple):
+class BackendRequest(NamedTuple):
     """What is to be sent to a backend server.
 
     :param service: which service.
@@ -106,8 +106,8 @@
     :param method: HTTP method.
     :param headers: end-to-end headers to pass on.
     :param body: bytes to send.
-    :param bound: tokens it can consume at the most.
-    :param prompt_bound: part of the bound that is the prompt's.
+    :param token_limit: tokens it can consume at the most.
+    :param prompt_token_limit: part of the bound that is the prompt's.
     :param prefix: hash of the prompt's leading part, for cache affinity.
     :param priority: 0 to 9.
     """
@@ -118,7 +118,7 @@
     method: str
     headers: dict[str, str]
     body: bytes
-    bound: int
-    prompt_bound: int = 0
+    token_limit: int
+    prompt_token_limit: int = 0
     prefix: int = 0
     priority: int = 5
--- a/src/dykemast/_internal/models/settings.py
+++ b/src/dykemast/_internal/models/settings.py
@@ -72,7 +72,7 @@
 
 
 #: What holds where the settings file is silent.
-DEFAULTS = Timing(
+DEFAULT_SETTINGS = Timing(
     budget_shards=4,
     journal_shards=4,
     list_lag=10,
--- a/src/dykemast/_internal/network/admin_parts.py
+++ b/src/dykemast/_internal/network/admin_parts.py
@@ -9,7 +9,7 @@
 from dykemast._internal.controllers.keepers import Keepers
 from dykemast._internal.network.platform import Platform
 from dykemast._internal.network.revision_store import RevisionStore
-from dykemast._internal.utils.keys import hash_bearer, is_same
+from dykemast._internal.utils.keys import hash_bearer, digests_match
 
 
 class AdminParts(NamedTuple):
@@ -37,4 +37,4 @@
     :returns: whether it does.
     """
     known = parts.board.settings['operator_key_sha256']
-    return is_same(hash_bearer(request.headers), known)
+    return digests_match(hash_bearer(request.headers), known)
--- a/src/dykemast/_internal/network/admin_writes.py
+++ b/src/dykemast/_internal/network/admin_writes.py
@@ -8,7 +8,7 @@
 from dykemast._internal.models.budgets import TopupIntent
 from dykemast._internal.network.admin_parts import AdminParts
 from dykemast._internal.network.budget_ledger import PREFIX
-from dykemast._internal.operations.comparison import compare
+from dykemast._internal.operations.comparison import compare_configurations
 from dykemast._internal.operations.findings import check_configuration
 from dykemast._internal.operations.rendezvous import choose_shard
 
@@ -50,7 +50,7 @@
     order = await _read_order(request, Submission)
     configuration = check_configuration(order.path, order.text)
     newest = await parts.store.read_newest()
-    found = compare(newest.configuration, configuration)
+    found = compare_configurations(newest.configuration, configuration)
     return {
         'revision': newest.number,
         'differences': [difference._asdict() for difference in found],
--- a/src/dykemast/_internal/network/backends.py
+++ b/src/dykemast/_internal/network/backends.py
@@ -8,7 +8,7 @@
 
 from dykemast._internal.exceptions import UpstreamError
 from dykemast._internal.models.fleet import Instance, LoadReport
-from dykemast._internal.models.requests import Ask, Order
+from dykemast._internal.models.requests import RequestContext, BackendRequest
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds to wait for a connection.
@@ -46,26 +46,28 @@
     async def send(
         self,
         instance: Instance,
-        order: Order,
-        ask: Ask,
+        backend_request: BackendRequest,
+        context: RequestContext,
     ) -> aiohttp.ClientResponse:
         """Send an order and wait for the head of the answer.
 
         :param instance: the backend server.
-        :param order: what to send.
-        :param ask: whose order it is.
+        :param backend_request: what to send.
+        :param context: whose order it is.
         :returns: the answer; its body is still to be read.
         :raises UpstreamError: when there is none, or not to this order.
         """
-        session = self._choose_session(repeatable=ask.repeatable)
+        session = self._choose_session(repeatable=context.repeatable)
         try:
-            response = await _request(session, instance, order, ask)
+            response = await _request(
+                session, instance, backend_request, context
+            )
         except aiohttp.ClientConnectorError as error:
             raise UpstreamError(str(error), sent=False) from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             text = f'{instance.name}: {type(error).__name__} {error}'
             raise UpstreamError(text, sent=True) from error
-        return _check_head(response, ask)
+        return _check_head(response, context)
 
     async def read_load(self, instance: Instance) -> LoadReport:
         """Read a worker's load report.
@@ -104,15 +106,15 @@
 async def _request(
     session: aiohttp.ClientSession,
     instance: Instance,
-    order: Order,
-    ask: Ask,
+    backend_request: BackendRequest,
+    context: RequestContext,
 ) -> aiohttp.ClientResponse:
-    async with asyncio.timeout_at(ask.deadline):
+    async with asyncio.timeout_at(context.deadline):
         return await session.request(
-            order.method,
-            f'http://{instance.host}:{instance.port}{order.path}',
-            data=order.body or None,
-            headers=_make_headers(order, ask),
+            backend_request.method,
+            f'http://{instance.host}:{instance.port}{backend_request.path}',
+            data=backend_request.body or None,
+            headers=_make_headers(backend_request, context),
             allow_redirects=False,
         )
 
@@ -123,12 +125,14 @@
     return msgspec.json.decode(body, type=dict[str, Any])
 
 
-def _make_headers(order: Order, ask: Ask) -> dict[str, str]:
+def _make_headers(
+    backend_request: BackendRequest, context: RequestContext
+) -> dict[str, str]:
     return {
-        **order.headers,
-        'x-request-id': ask.request,
-        'idempotency-key': ask.key,
-        'x-priority': str(order.priority),
+        **backend_request.headers,
+        'x-request-id': context.request,
+        'idempotency-key': context.key,
+        'x-priority': str(backend_request.priority),
     }
 
 
@@ -148,12 +152,12 @@
 
 def _check_head(
     response: aiohttp.ClientResponse,
-    ask: Ask,
+    context: RequestContext,
 ) -> aiohttp.ClientResponse:
-    echoed = response.headers.get('x-request-id', ask.request)
-    if echoed != ask.request:
+    echoed = response.headers.get('x-request-id', context.request)
+    if echoed != context.request:
         response.close()
-        text = f'answer to {echoed} instead of {ask.request}.'
+        text = f'answer to {echoed} instead of {context.request}.'
         raise UpstreamError(text, sent=True)
     if response.status >= _SERVER_ERROR or response.status in _NOT_STARTED:
         response.close()
--- a/src/dykemast/_internal/network/platform.py
+++ b/src/dykemast/_internal/network/platform.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from dykemast._internal.exceptions import (
-    PlatformAwayError,
+    PlatformUnavailableError,
     PlatformError,
     VersionConflictError,
 )
@@ -139,7 +139,7 @@
         raise VersionConflictError('object has another version.')
     if answer.status != _OK:
         # 429 and 5xx alike: whether a write took effect is not known.
-        raise PlatformAwayError(f'platform answered {answer.status}.')
+        raise PlatformUnavailableError(f'platform answered {answer.status}.')
     try:
         return msgspec.json.decode(answer.body, type=shape)
     except msgspec.MsgspecError as error:
--- a/src/dykemast/_internal/network/platform_session.py
+++ b/src/dykemast/_internal/network/platform_session.py
@@ -12,7 +12,7 @@
 
 import aiohttp
 
-from dykemast._internal.exceptions import PlatformAwayError
+from dykemast._internal.exceptions import PlatformUnavailableError
 from dykemast._internal.network.late_reads import read_again_if_late
 from dykemast._internal.network.sockets import make_socket
 from dykemast._internal.operations.freshness import LATE_READ_S
@@ -61,7 +61,7 @@
             return await self._choose_call(method, path, body, wait)
         except _FAILURES as error:
             text = f'{method} {path}: no answer ({type(error).__name__}).'
-            raise PlatformAwayError(text) from error
+            raise PlatformUnavailableError(text) from error
 
     async def close(self) -> None:
         """Close all connections."""
--- a/src/dykemast/_internal/network/revision_store.py
+++ b/src/dykemast/_internal/network/revision_store.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from dykemast._internal.exceptions import (
-    PlatformAwayError,
+    PlatformUnavailableError,
     StaleRevisionError,
     VersionConflictError,
 )
@@ -89,7 +89,7 @@
         for _ in range(MAX_TRIES):
             try:
                 return await self._try_submit(configuration, base, submission)
-            except (VersionConflictError, PlatformAwayError) as error:
+            except (VersionConflictError, PlatformUnavailableError) as error:
                 # The head tells on the next try whether it took effect.
                 failure = error
         raise failure
--- a/src/dykemast/_internal/operations/comparison.py
+++ b/src/dykemast/_internal/operations/comparison.py
@@ -21,7 +21,9 @@
     change: str
 
 
-def compare(old: Configuration, new: Configuration) -> list[Difference]:
+def compare_configurations(
+    old: Configuration, new: Configuration
+) -> list[Difference]:
     """Compare two configurations by the names in them.
 
     :param old: what is in force.
--- a/src/dykemast/_internal/operations/crash_records.py
+++ b/src/dykemast/_internal/operations/crash_records.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from dykemast._internal.exceptions import NotUsableError
+from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.models.crashes import (
     CrashRecord,
     Quarantine,
@@ -106,10 +106,10 @@
     try:
         fields = msgspec.convert(held, _HeldRecord)
     except msgspec.ValidationError as error:
-        raise NotUsableError(f'a record of crashes: {error}') from error
+        raise InvalidDataError(f'a record of crashes: {error}') from error
     record = CrashRecord(**fields)
     if record.request != name or record.terms < 0:
-        raise NotUsableError('a record of crashes is of another request.')
+        raise InvalidDataError('a record of crashes is of another request.')
     return record._replace(
         servers=record.servers[:MAX_SERVERS],
         beside=tuple(others[:MAX_CO_SUSPECTS] for others in record.beside),
--- a/src/dykemast/_internal/operations/loop_watch.py
+++ b/src/dykemast/_internal/operations/event_loop_monitor.py
@@ -22,7 +22,7 @@
 MAX_LATENESS: Final = 0.2
 
 
-class LoopWatch:
+class EventLoopMonitor:
     """Moments at which the loop ran.
 
     :param now: seconds on the clock.
@@ -50,7 +50,7 @@
         self._lateness = self._blend(overrun)
         self._seen = now
 
-    def find_wake(self, now: float) -> float:
+    def find_last_resume(self, now: float) -> float:
         """Tell when the loop went on after it last stood still for long.
 
         :param now: seconds on the clock.
--- a/src/dykemast/_internal/operations/group_commit.py
+++ b/src/dykemast/_internal/operations/group_commit.py
@@ -14,7 +14,7 @@
 
 from dykemast._internal.exceptions import PlatformError
 from dykemast._internal.utils.clock import read_clock
-from dykemast._internal.utils.pace import Pace
+from dykemast._internal.utils.rate_limiter import RateLimiter
 
 _log = logbook.Logger('commit')
 
@@ -82,7 +82,7 @@
         """Start with an empty queue and an unknown state."""
         self._name = name
         self._ledger = ledger
-        self._pace = Pace(pause)
+        self._rate_limiter = RateLimiter(pause)
         self._queue: asyncio.Queue[_Waiting] = asyncio.Queue(MAX_BATCH * 4)
         self._loaded = False
 
@@ -109,7 +109,7 @@
             while not self._queue.empty() and len(batch) < MAX_BATCH:
                 batch.append(self._queue.get_nowait())
             await self._write_batch(_drop_old(batch))
-            await asyncio.sleep(self._pace.note_write())
+            await asyncio.sleep(self._rate_limiter.record_write())
 
     def _offer(self, waiting: _Waiting) -> None:
         try:
--- a/src/dykemast/_internal/operations/planned_stop.py
+++ b/src/dykemast/_internal/operations/planned_stop.py
@@ -31,21 +31,21 @@
 class StopPlan(NamedTuple):
     """Moments of a planned stop, in seconds on the steady clock.
 
-    :param named_until: until when a caller may hold a valid entry answer that
+    :param advertised_until: until when a caller may hold a valid entry answer that
         names this router.
-    :param stay_until: until when the router stays though it has nothing to do.
+    :param linger_until: until when the router stays though it has nothing to do.
     :param give_back_at: when it gives unused tokens back at the latest.
     :param ends_by: when requests that are let in have to end: the process may
         be killed soon after.
-    :param cut_at: when it cuts off what is still in progress.
+    :param cancel_at: when it cuts off what is still in progress.
     :param closed: whether nothing is let in any more.
     """
 
-    named_until: float
-    stay_until: float
+    advertised_until: float
+    linger_until: float
     give_back_at: float
     ends_by: float
-    cut_at: float
+    cancel_at: float
     closed: bool = False
 
     def may_admit(self, now: float, deadline: float, usual: float) -> bool:
@@ -65,7 +65,7 @@
             return False
         if deadline <= self.ends_by:
             return True
-        return now < self.named_until and now + usual <= self.ends_by
+        return now < self.advertised_until and now + usual <= self.ends_by
 
     def close(self) -> 'StopPlan':
         """Let nothing in from now on, so that the end can be waited for.
@@ -92,9 +92,9 @@
     left = max(0, stop_timeout - END_TIME)
     ends_by = since + left
     return StopPlan(
-        named_until=min(now + entry_ttl + NEWS_TIME, ends_by),
-        stay_until=min(now + entry_ttl * STAY_FACTOR, ends_by),
+        advertised_until=min(now + entry_ttl + NEWS_TIME, ends_by),
+        linger_until=min(now + entry_ttl * STAY_FACTOR, ends_by),
         give_back_at=max(now, ends_by - GIVE_BACK_TIME),
         ends_by=ends_by,
-        cut_at=now + left,
+        cancel_at=now + left,
     )
--- a/src/dykemast/_internal/operations/policies.py
+++ b/src/dykemast/_internal/operations/policies.py
@@ -34,7 +34,7 @@
     priority: int
 
 
-def decide(
+def evaluate_policy(
     policy: PolicySpec,
     view: dict[str, Any],
     model: str,
--- a/src/dykemast/_internal/operations/policy_check.py
+++ b/src/dykemast/_internal/operations/policy_check.py
@@ -7,7 +7,7 @@
     PolicyError,
     compile_expression,
 )
-from dykemast._internal.operations.policies import decide
+from dykemast._internal.operations.policies import evaluate_policy
 
 #: Expressions that a policy may have.
 EXPRESSIONS: Final = frozenset(('allow', 'models', 'budgets', 'priority'))
@@ -32,13 +32,13 @@
     if failures:
         return failures
     try:
-        decide(policy, make_sample(configuration), 'sample')
+        evaluate_policy(policy, make_sample_view(configuration), 'sample')
     except PolicyError as error:
         return [PolicyError(error.field, f'on a sample request: {error}')]
     return []
 
 
-def make_sample(configuration: Configuration) -> dict[str, Any]:
+def make_sample_view(configuration: Configuration) -> dict[str, Any]:
     """Make what a policy sees of an ordinary request.
 
     :param configuration: whose models are shown.
--- a/src/dykemast/_internal/path/admission.py
+++ b/src/dykemast/_internal/path/admission.py
@@ -6,7 +6,12 @@
 from starlette.requests import Request
 
 from dykemast._internal.blackboard import Blackboard
-from dykemast._internal.models.requests import Ask, Code, Ran, Refusal
+from dykemast._internal.models.requests import (
+    RequestContext,
+    Code,
+    Ran,
+    Refusal,
+)
 from dykemast._internal.models.revisions import Configuration, WorkspaceSpec
 from dykemast._internal.operations.policies import DEFAULT_BUDGET
 from dykemast._internal.path import header_fields as fields
@@ -16,7 +21,7 @@
     read_clock,
     read_time_of_day,
 )
-from dykemast._internal.utils.keys import hash_bearer, is_same
+from dykemast._internal.utils.keys import hash_bearer, digests_match
 
 #: Requests of one workspace in progress at one router, where not set.
 DEFAULT_CONCURRENT: Final = 512
@@ -58,7 +63,7 @@
     found = None
     for workspace in find_configuration(board)['workspaces']:
         # All are compared, so that the time taken tells nothing.
-        if is_same(digest, workspace['key_sha256']):
+        if digests_match(digest, workspace['key_sha256']):
             found = workspace
     if found is None:
         text = 'No workspace has this key; send "Authorization: Bearer KEY".'
@@ -72,7 +77,7 @@
     request: Request,
     *,
     safe: bool,
-) -> Ask:
+) -> RequestContext:
     """Read what the headers ask for.
 
     :param board: the blackboard.
@@ -85,36 +90,38 @@
     headers = request.headers
     name = request.state.request_id
     key = headers.get('idempotency-key', name)
-    order = headers.get('x-order-key', '')
-    if not fields.is_key(key) or not fields.is_key(order):
+    order_key = headers.get('x-order-key', '')
+    if not fields.is_key(key) or not fields.is_key(order_key):
         text = (
             f'Idempotency-Key and X-Order-Key take {fields.MAX_KEY} characters.'
         )
         raise RefusedError(Refusal(Code.bad_request, text))
     _check_age(board, headers, key)
-    return Ask(
+    return RequestContext(
         request=name,
         workspace=workspace,
         key=key,
         repeatable=fields.read_repeatable(headers, safe=safe),
         deadline=read_clock() + fields.read_deadline(headers),
-        order=f'{workspace}|{order}' if order else '',
+        order_key=f'{workspace}|{order_key}' if order_key else '',
         budget=headers.get('x-budget', DEFAULT_BUDGET),
     )
 
 
-def check_room(board: Blackboard, workspace: WorkspaceSpec, ask: Ask) -> None:
+def check_room(
+    board: Blackboard, workspace: WorkspaceSpec, context: RequestContext
+) -> None:
     """Check that one more request may run, and will end before the router.
 
     :param board: the blackboard.
     :param workspace: who asks.
-    :param ask: the request.
+    :param context: the request.
     :raises RefusedError: when too many are in progress, or this router is
         stopping and could cut the request off.
     """
     traffic = board.traffic
     plan = traffic.stop_plan
-    if plan and not plan.may_admit(read_clock(), ask.deadline, usual=0):
+    if plan and not plan.may_admit(read_clock(), context.deadline, usual=0):
         text = 'This router is stopping; ask /v1/entry for others.'
         raise RefusedError(
             Refusal(Code.stopping, text, retry_after=STOPPING_RETRY)
--- a/src/dykemast/_internal/path/call_answers.py
+++ b/src/dykemast/_internal/path/call_answers.py
@@ -15,20 +15,20 @@
 async def pass_on(
     parts: Parts,
     job: Job,
-    order: requests.Order,
+    backend_request: requests.BackendRequest,
 ) -> Response:
     """Send a call and pass its answer on.
 
     :param parts: parts of the router.
     :param job: the request.
-    :param order: what to send.
+    :param backend_request: what to send.
     :returns: the answer.
     :raises RefusedError: when there is none, or it broke off.
     """
-    response = (await routes.send_order(parts, job, order)).response
-    cut = Outcome(order.bound, order.bound, CUT)
+    response = (await routes.send_order(parts, job, backend_request)).response
+    cut = Outcome(backend_request.token_limit, backend_request.token_limit, CUT)
     try:
-        body = await relays.read_whole(response, job.ask.deadline)
+        body = await relays.read_whole(response, job.context.deadline)
     except (UpstreamError, asyncio.CancelledError) as error:
         response.close()
         background.run_apart(job.finish(cut))
@@ -36,10 +36,16 @@
             raise
         raise RefusedError(_refuse_cut(error)) from error
     recorded = record(response, body)
-    await job.finish(Outcome(order.bound, order.bound, answer=recorded))
+    await job.finish(
+        Outcome(
+            backend_request.token_limit,
+            backend_request.token_limit,
+            answer=recorded,
+        )
+    )
     answer = make_answer(response, body)
-    answer.headers['x-request-id'] = job.ask.request
-    answer.headers['x-billed-tokens'] = str(order.bound)
+    answer.headers['x-request-id'] = job.context.request
+    answer.headers['x-billed-tokens'] = str(backend_request.token_limit)
     return answer
 
 
--- a/src/dykemast/_internal/path/calls.py
+++ b/src/dykemast/_internal/path/calls.py
@@ -28,11 +28,15 @@
     """
     workspace = admission.find_workspace(parts.board, request.headers)
     safe = request.method in _SAFE_METHODS
-    ask = admission.make_ask(parts.board, workspace['name'], request, safe=safe)
+    context = admission.make_ask(
+        parts.board, workspace['name'], request, safe=safe
+    )
     service = _find_service(parts, request.path_params['service'])
-    order = _make_order(service, request)._replace(body=body)
-    admission.check_room(parts.board, workspace, ask)
-    return await _run_job(parts, Job(parts, ask), order, workspace)
+    backend_request = _make_order(service, request)._replace(body=body)
+    admission.check_room(parts.board, workspace, context)
+    return await _run_job(
+        parts, Job(parts, context), backend_request, workspace
+    )
 
 
 def _find_service(parts: Parts, name: str) -> ServiceSpec:
@@ -44,7 +48,9 @@
     raise RefusedError(requests.Refusal(requests.Code.not_found, text))
 
 
-def _make_order(service: ServiceSpec, request: Request) -> requests.Order:
+def _make_order(
+    service: ServiceSpec, request: Request
+) -> requests.BackendRequest:
     path = '/{}'.format(request.path_params['path'])
     if request.url.query:
         path = '{}?{}'.format(path, request.url.query)
@@ -56,11 +62,11 @@
 async def _run_job(
     parts: Parts,
     job: Job,
-    order: requests.Order,
+    backend_request: requests.BackendRequest,
     workspace: WorkspaceSpec,
 ) -> Response:
     try:
-        return await _run(parts, job, order, workspace)
+        return await _run(parts, job, backend_request, workspace)
     except BaseException:
         job.release()
         raise
@@ -69,13 +75,15 @@
 async def _run(
     parts: Parts,
     job: Job,
-    order: requests.Order,
+    backend_request: requests.BackendRequest,
     workspace: WorkspaceSpec,
 ) -> Response:
-    await _prepare(parts, job, order, workspace)
-    earlier = None if job.ask.repeatable else await claim(parts, job.ask)
+    await _prepare(parts, job, backend_request, workspace)
+    earlier = (
+        None if job.context.repeatable else await claim(parts, job.context)
+    )
     if earlier is None:
-        return await pass_on(parts, job, order)
+        return await pass_on(parts, job, backend_request)
     job.release()
     return replay(earlier)
 
@@ -83,19 +91,21 @@
 async def _prepare(
     parts: Parts,
     job: Job,
-    order: requests.Order,
+    backend_request: requests.BackendRequest,
     workspace: WorkspaceSpec,
 ) -> None:
     choices.check_journal(parts, job)
     await job.wait_turn()
     seen: dict[str, Any] = {
-        'model': order.service,
-        'budget': job.ask.budget,
-        'method': order.method,
-        'repeatable': job.ask.repeatable,
-        'bytes': len(order.body),
+        'model': backend_request.service,
+        'budget': job.context.budget,
+        'method': backend_request.method,
+        'repeatable': job.context.repeatable,
+        'bytes': len(backend_request.body),
     }
     configuration = admission.find_configuration(parts.board)
     choice = choices.choose(parts, configuration, workspace, seen)
-    if order.bound:
-        job.hold = await choices.hold_first(parts, job.ask, choice, order.bound)
+    if backend_request.token_limit:
+        job.hold = await choices.hold_first(
+            parts, job.context, choice, backend_request.token_limit
+        )
--- a/src/dykemast/_internal/path/candidates.py
+++ b/src/dykemast/_internal/path/candidates.py
@@ -1,7 +1,7 @@
 """Workers that could run an order, as this router sees them."""
 
 from dykemast._internal.models.fleet import LoadReport
-from dykemast._internal.models.requests import Order
+from dykemast._internal.models.requests import BackendRequest
 from dykemast._internal.operations.peers import list_owners
 from dykemast._internal.operations.routing import rank_workers
 from dykemast._internal.operations.worker_load import Candidate, RankingContext
@@ -10,11 +10,13 @@
 from dykemast._internal.utils.clock import read_clock
 
 
-def list_candidates(parts: Parts, order: Order) -> list[Candidate]:
+def list_candidates(
+    parts: Parts, backend_request: BackendRequest
+) -> list[Candidate]:
     """List the workers that could run an order.
 
     :param parts: parts of the router.
-    :param order: the order.
+    :param backend_request: the order.
     :returns: those that are of the service, have the model and stay.
     """
     board = parts.board
@@ -26,32 +28,37 @@
             reports.get(instance.name, LoadReport()),
         )
         for instance in board.fleet.instances
-        if instance.role == order.service
+        if instance.role == backend_request.service
         and instance.name not in board.fleet.leaving
         and not parts.breakers.is_open(instance.name, read_clock())
     ]
     return [
         one
         for one in found
-        if not order.model or order.model in one.report.models
+        if not backend_request.model
+        or backend_request.model in one.report.models
     ]
 
 
-def rank_candidates(parts: Parts, order: Order) -> list[Candidate]:
+def rank_candidates(
+    parts: Parts, backend_request: BackendRequest
+) -> list[Candidate]:
     """Put the workers that could run an order in the order to try them.
 
     :param parts: parts of the router.
-    :param order: the order.
+    :param backend_request: the order.
     :returns: the workers.
     """
     now = read_clock()
     ranking = RankingContext(
         parts.board.settings['hall'],
-        order.prefix,
+        backend_request.prefix,
         now,
         len(list_owners(parts.board, now)),
     )
-    return rank_workers(list_candidates(parts, order), ranking, parts.chance)
+    return rank_workers(
+        list_candidates(parts, backend_request), ranking, parts.chance
+    )
 
 
 def note_sent(parts: Parts, job: Job, name: str) -> None:
--- a/src/dykemast/_internal/path/chat.py
+++ b/src/dykemast/_internal/path/chat.py
@@ -6,7 +6,7 @@
 from starlette.requests import Request
 from starlette.responses import Response
 
-from dykemast._internal.models.requests import Code, Order, Refusal
+from dykemast._internal.models.requests import Code, BackendRequest, Refusal
 from dykemast._internal.models.revisions import Configuration, WorkspaceSpec
 from dykemast._internal.path import admission, choices, orders, routes
 from dykemast._internal.path.chat_answers import (
@@ -32,10 +32,12 @@
     :raises RefusedError: when it is refused.
     """
     workspace = admission.find_workspace(parts.board, request.headers)
-    ask = admission.make_ask(parts.board, workspace['name'], request, safe=True)
+    context = admission.make_ask(
+        parts.board, workspace['name'], request, safe=True
+    )
     fields = read_chat(body)
-    admission.check_room(parts.board, workspace, ask)
-    job = Job(parts, ask)
+    admission.check_room(parts.board, workspace, context)
+    job = Job(parts, context)
     try:
         exchange = await _begin(parts, job, fields, workspace)
     except BaseException:
@@ -56,16 +58,22 @@
     await job.wait_turn()
     seen = {
         'model': fields['model'],
-        'budget': job.ask.budget,
+        'budget': job.context.budget,
         'stream': bool(fields.get('stream')),
-        'repeatable': job.ask.repeatable,
+        'repeatable': job.context.repeatable,
         'bytes': len(str(fields['messages'])),
     }
     configuration = admission.find_configuration(parts.board)
     choice = choices.choose(parts, configuration, workspace, seen)
-    order = _choose_model(parts, configuration, choice, fields)
-    job.hold = await choices.hold_first(parts, job.ask, choice, order.bound)
-    return Exchange(job, order, await routes.send_order(parts, job, order))
+    backend_request = _choose_model(parts, configuration, choice, fields)
+    job.hold = await choices.hold_first(
+        parts, job.context, choice, backend_request.token_limit
+    )
+    return Exchange(
+        job,
+        backend_request,
+        await routes.send_order(parts, job, backend_request),
+    )
 
 
 def _choose_model(
@@ -73,7 +81,7 @@
     configuration: Configuration,
     choice: choices.Choice,
     fields: dict[str, Any],
-) -> Order:
+) -> BackendRequest:
     """Take the first chosen model that a worker has."""
     models = {model['name']: model for model in configuration['models']}
     made = [
@@ -84,8 +92,10 @@
     if not made:
         text = 'There is no such model; see /v1/models.'
         raise RefusedError(Refusal(Code.not_found, text))
-    for order in made:
-        if list_candidates(parts, order):
-            return order
-        _log.info('policy: no worker has {}, falls back.', order.model)
+    for backend_request in made:
+        if list_candidates(parts, backend_request):
+            return backend_request
+        _log.info(
+            'policy: no worker has {}, falls back.', backend_request.model
+        )
     return made[0]
--- a/src/dykemast/_internal/path/chat_answers.py
+++ b/src/dykemast/_internal/path/chat_answers.py
@@ -9,7 +9,12 @@
 from starlette.responses import Response, StreamingResponse
 
 from dykemast._internal.exceptions import UpstreamError
-from dykemast._internal.models.requests import Code, Order, Ran, Refusal
+from dykemast._internal.models.requests import (
+    Code,
+    BackendRequest,
+    Ran,
+    Refusal,
+)
 from dykemast._internal.path import background, relays, routes
 from dykemast._internal.path.jobs import CUT, Job, Outcome
 from dykemast._internal.path.parts import RefusedError
@@ -22,12 +27,12 @@
     """An order that is being answered.
 
     :param job: the request.
-    :param order: what was sent.
+    :param backend_request: what was sent.
     :param upstream: the answer that has begun.
     """
 
     job: Job
-    order: Order
+    backend_request: BackendRequest
     upstream: routes.Upstream
 
 
@@ -38,15 +43,21 @@
     :returns: the answer, after its bill is durable.
     :raises RefusedError: when the engine's answer broke off.
     """
-    order = exchange.order
+    backend_request = exchange.backend_request
     try:
         body = await relays.read_whole(
-            exchange.upstream.response, exchange.job.ask.deadline
+            exchange.upstream.response, exchange.job.context.deadline
         )
     except (UpstreamError, asyncio.CancelledError) as error:
         exchange.upstream.response.close()
         background.run_apart(
-            exchange.job.finish(Outcome(order.bound, order.bound, CUT))
+            exchange.job.finish(
+                Outcome(
+                    backend_request.token_limit,
+                    backend_request.token_limit,
+                    CUT,
+                )
+            )
         )
         if isinstance(error, asyncio.CancelledError):
             raise
@@ -63,10 +74,10 @@
         # An answer of this kind without usage is the engine's word that the
         # order made no sense; else what is not reported is charged in full.
         bad = status >= HTTPStatus.BAD_REQUEST
-        usage = 0 if bad else exchange.order.bound
+        usage = 0 if bad else exchange.backend_request.token_limit
     verdict = await exchange.job.finish(Outcome(usage, usage))
     headers = {
-        'x-request-id': exchange.job.ask.request,
+        'x-request-id': exchange.job.context.request,
         'x-billed-tokens': str(usage),
         'x-bill': verdict.value,
     }
@@ -82,7 +93,7 @@
     return StreamingResponse(
         _relay(exchange),
         exchange.upstream.response.status,
-        {'x-request-id': exchange.job.ask.request},
+        {'x-request-id': exchange.job.context.request},
         'text/event-stream',
     )
 
@@ -90,14 +101,16 @@
 async def _relay(exchange: Exchange) -> AsyncIterator[bytes]:
     seen = SeenStream()
     response = exchange.upstream.response
-    events = relays.read_events(response, exchange.job.ask.deadline)
+    events = relays.read_events(response, exchange.job.context.deadline)
     try:
         async for event in events:
             if seen.note(event):
                 yield event.body
     except BaseException as error:
         _end_cut(exchange, seen)
-        _log.info('relay: {} cut: {!r}', exchange.order.service, error)
+        _log.info(
+            'relay: {} cut: {!r}', exchange.backend_request.service, error
+        )
         raise
     response.close()
     await _bill_stream(exchange, seen)
@@ -106,14 +119,23 @@
 
 
 async def _bill_stream(exchange: Exchange, seen: SeenStream) -> None:
-    usage = exchange.order.bound if seen.usage is None else seen.usage
+    usage = (
+        exchange.backend_request.token_limit
+        if seen.usage is None
+        else seen.usage
+    )
     await exchange.job.finish(Outcome(usage, usage))
 
 
 def _end_cut(exchange: Exchange, seen: SeenStream) -> None:
-    order = exchange.order
+    backend_request = exchange.backend_request
     exchange.upstream.response.close()
     # Tokens may have been made that nobody has seen: the budget is charged
     # in full, the bill names what was delivered.
-    billed = min(order.bound, order.prompt_bound + seen.pieces)
-    background.run_apart(exchange.job.finish(Outcome(order.bound, billed, CUT)))
+    billed = min(
+        backend_request.token_limit,
+        backend_request.prompt_token_limit + seen.pieces,
+    )
+    background.run_apart(
+        exchange.job.finish(Outcome(backend_request.token_limit, billed, CUT))
+    )
--- a/src/dykemast/_internal/path/choices.py
+++ b/src/dykemast/_internal/path/choices.py
@@ -5,7 +5,7 @@
 import logbook
 
 from dykemast._internal.controllers.bills import MAX_KEPT
-from dykemast._internal.models.requests import Ask, Code, Refusal
+from dykemast._internal.models.requests import RequestContext, Code, Refusal
 from dykemast._internal.models.revisions import (
     Configuration,
     PolicySpec,
@@ -16,7 +16,7 @@
     LeaseTerms,
 )
 from dykemast._internal.operations.expressions import PolicyError
-from dykemast._internal.operations.policies import Decision, decide
+from dykemast._internal.operations.policies import Decision, evaluate_policy
 from dykemast._internal.path import policy_views
 from dykemast._internal.path.holds import Wanted, take_hold
 from dykemast._internal.path.jobs import Hold, Job
@@ -54,7 +54,7 @@
     view = policy_views.view_all(parts, workspace['name'], request)
     policy = _find_policy(configuration, workspace['policy'])
     try:
-        decision = decide(policy, view, str(request['model']))
+        decision = evaluate_policy(policy, view, str(request['model']))
     except PolicyError as error:
         text = f'The policy of the workspace failed: {error.field}: {error}'
         raise RefusedError(Refusal(Code.policy_failed, text)) from error
@@ -71,14 +71,14 @@
 
 async def hold_first(
     parts: Parts,
-    ask: Ask,
+    context: RequestContext,
     choice: Choice,
     tokens: int,
 ) -> Hold:
     """Reserve tokens of the first chosen budget that has room.
 
     :param parts: parts of the router.
-    :param ask: the request.
+    :param context: the request.
     :param choice: which budgets may be drawn on.
     :param tokens: how many.
     :returns: the hold.
@@ -87,11 +87,11 @@
     terms = _choose_terms(parts, choice.workspace)
     failure = RefusedError(Refusal(Code.budget_empty, 'No budget is named.'))
     for name in choice.decision.budgets:
-        wanted = Wanted(f'{ask.workspace}/{name}', terms, tokens)
+        wanted = Wanted(f'{context.workspace}/{name}', terms, tokens)
         try:
-            return await take_hold(parts, ask, wanted)
+            return await take_hold(parts, context, wanted)
         except RefusedError as error:
-            _log.info('policy: {} finds no room in {}.', ask.request, name)
+            _log.info('policy: {} finds no room in {}.', context.request, name)
             failure = error
     raise failure
 
--- a/src/dykemast/_internal/path/claims.py
+++ b/src/dykemast/_internal/path/claims.py
@@ -4,7 +4,12 @@
 
 from dykemast._internal.exceptions import PlatformError
 from dykemast._internal.models.journal import Entry, EntryKind, Verdict
-from dykemast._internal.models.requests import Ask, Code, Ran, Refusal
+from dykemast._internal.models.requests import (
+    RequestContext,
+    Code,
+    Ran,
+    Refusal,
+)
 from dykemast._internal.path.parts import Parts, RefusedError
 from dykemast._internal.utils.clock import read_time_of_day
 
@@ -12,18 +17,18 @@
 AWAY_RETRY: Final = 5
 
 
-async def claim(parts: Parts, ask: Ask) -> Entry | None:
+async def claim(parts: Parts, context: RequestContext) -> Entry | None:
     """Claim the key of a request that may not be repeated.
 
     :param parts: parts of the router.
-    :param ask: the request.
+    :param context: the request.
     :returns: the recorded outcome, when an earlier attempt has one.
     :raises RefusedError: when the request must not run now.
     """
     entry = Entry(
-        key=f'{ask.workspace}|{ask.key}',
+        key=f'{context.workspace}|{context.key}',
         kind=EntryKind.claimed,
-        run=ask.request,
+        run=context.request,
         at=read_time_of_day(),
     )
     try:
--- a/src/dykemast/_internal/path/entrances.py
+++ b/src/dykemast/_internal/path/entrances.py
@@ -3,7 +3,7 @@
 import math
 from typing import Final
 
-from dykemast._internal.models.requests import Code, Order, Refusal
+from dykemast._internal.models.requests import Code, BackendRequest, Refusal
 from dykemast._internal.operations.peers import list_owners
 from dykemast._internal.path.admission import find_configuration
 from dykemast._internal.path.candidates import list_candidates
@@ -18,37 +18,39 @@
 MAX_WAIT: Final = 1.0
 
 
-async def enter_gate(parts: Parts, job: Job, order: Order) -> None:
+async def enter_gate(
+    parts: Parts, job: Job, backend_request: BackendRequest
+) -> None:
     """Wait for a slot of the order's service; the job gives it back.
 
     :param parts: parts of the router.
     :param job: the request.
-    :param order: what it wants to send.
+    :param backend_request: what it wants to send.
     :raises RefusedError: when there will be none soon enough.
     """
-    gate = parts.gates.setdefault(order.service, Gate())
-    gate.slots = _count_slots(parts, order)
+    gate = parts.gates.setdefault(backend_request.service, Gate())
+    gate.slots = _count_slots(parts, backend_request)
     now = read_clock()
-    patience = min(MAX_WAIT, job.ask.deadline - now)
-    if not await gate.enter(order.priority, patience):
-        raise RefusedError(_refuse(gate, order))
+    patience = min(MAX_WAIT, job.context.deadline - now)
+    if not await gate.enter(backend_request.priority, patience):
+        raise RefusedError(_refuse(gate, backend_request))
     entered = read_clock()
     job.on_release(lambda: gate.leave(read_clock() - entered))
 
 
-def _count_slots(parts: Parts, order: Order) -> int:
+def _count_slots(parts: Parts, backend_request: BackendRequest) -> int:
     services = find_configuration(parts.board)['services']
     slots = next(
         service.get('worker_slots', WORKER_SLOTS)
         for service in services
-        if service['name'] == order.service
+        if service['name'] == backend_request.service
     )
     routers = list_owners(parts.board, read_clock())
-    workers = list_candidates(parts, order)
+    workers = list_candidates(parts, backend_request)
     return count_slots(len(workers), slots, len(routers))
 
 
-def _refuse(gate: Gate, order: Order) -> Refusal:
-    wait = max(1, math.ceil(gate.estimate_wait(order.priority)))
-    text = f'All servers of {order.service} are busy.'
+def _refuse(gate: Gate, backend_request: BackendRequest) -> Refusal:
+    wait = max(1, math.ceil(gate.estimate_wait(backend_request.priority)))
+    text = f'All servers of {backend_request.service} are busy.'
     return Refusal(Code.too_busy, text, retry_after=wait)
--- a/src/dykemast/_internal/path/holds.py
+++ b/src/dykemast/_internal/path/holds.py
@@ -5,7 +5,7 @@
 
 import logbook
 
-from dykemast._internal.models.requests import Ask
+from dykemast._internal.models.requests import RequestContext
 from dykemast._internal.operations.confirmed_lease import LeaseTerms
 from dykemast._internal.operations.holder import Holder
 from dykemast._internal.path.hold_refusals import is_empty, refuse_hold
@@ -34,11 +34,13 @@
     tokens: int
 
 
-async def take_hold(parts: Parts, ask: Ask, wanted: Wanted) -> Hold:
+async def take_hold(
+    parts: Parts, context: RequestContext, wanted: Wanted
+) -> Hold:
     """Reserve tokens of one budget.
 
     :param parts: parts of the router.
-    :param ask: the request.
+    :param context: the request.
     :param wanted: how many, and of which.
     :returns: the hold.
     :raises RefusedError: when there is no room.
@@ -47,11 +49,11 @@
         wanted.budget, wanted.terms, read_clock()
     )
     if not _take(holder, wanted.tokens):
-        limit = min(ask.deadline, read_clock() + HOLD_WAIT)
+        limit = min(context.deadline, read_clock() + HOLD_WAIT)
         await _wait_for_room(parts, holder, wanted.tokens, limit)
     _log.info(
         'hold: {} takes {} of {}, {} left.',
-        ask.request,
+        context.request,
         wanted.tokens,
         wanted.budget,
         holder.count_available(read_clock()),
--- a/src/dykemast/_internal/path/jobs.py
+++ b/src/dykemast/_internal/path/jobs.py
@@ -8,7 +8,7 @@
 import logbook
 
 from dykemast._internal.models.journal import Entry, EntryKind, Verdict
-from dykemast._internal.models.requests import Ask
+from dykemast._internal.models.requests import RequestContext
 from dykemast._internal.operations.holder import Holder
 from dykemast._internal.path.parts import Parts
 from dykemast._internal.utils.clock import (
@@ -57,26 +57,26 @@
     """What a request has taken, to be given back exactly once.
 
     :param parts: parts of the router.
-    :param ask: the request.
+    :param context: the request.
     """
 
-    def __init__(self, parts: Parts, ask: Ask) -> None:
+    def __init__(self, parts: Parts, context: RequestContext) -> None:
         """Count the request as in progress."""
-        self.ask = ask
+        self.context = context
         self._parts = parts
         self.hold: Hold | None = None
         self._releases = contextlib.ExitStack()
         self._released = False
         traffic = parts.board.traffic
         traffic.inflight += 1
-        mine = traffic.by_workspace.get(ask.workspace, 0)
-        traffic.by_workspace[ask.workspace] = mine + 1
+        mine = traffic.by_workspace.get(context.workspace, 0)
+        traffic.by_workspace[context.workspace] = mine + 1
 
     async def wait_turn(self) -> None:
         """Wait for the requests before it that ask for the same order."""
-        if self.ask.order:
-            turn = await self._parts.turns.take(self.ask.order)
-            self.on_release(self._parts.turns.end, self.ask.order, turn)
+        if self.context.order_key:
+            turn = await self._parts.turns.take(self.context.order_key)
+            self.on_release(self._parts.turns.end, self.context.order_key, turn)
 
     def on_release(self, act: Callable[..., None], *words: Any) -> None:
         """Have something done when the job lets go of everything.
@@ -108,7 +108,7 @@
         """
         budget = self.hold.budget if self.hold else ''
         self._settle(outcome.charged)
-        entry = _make_entry(self.ask, budget, outcome)
+        entry = _make_entry(self.context, budget, outcome)
         # A caller who goes away now must not take the bill along.
         recording = asyncio.ensure_future(self._parts.bills.record(entry))
         recording.add_done_callback(lambda _: self.release())
@@ -122,9 +122,9 @@
         self._settle(0)
         traffic = self._parts.board.traffic
         traffic.inflight -= 1
-        left = traffic.by_workspace.pop(self.ask.workspace) - 1
+        left = traffic.by_workspace.pop(self.context.workspace) - 1
         if left:
-            traffic.by_workspace[self.ask.workspace] = left
+            traffic.by_workspace[self.context.workspace] = left
         self._releases.close()
 
     def _settle(self, charged: int) -> None:
@@ -136,17 +136,19 @@
         if charged > hold.tokens:
             _log.error(
                 'bill: {} consumed {} with a hold of {}.',
-                self.ask.request,
+                self.context.request,
                 charged,
                 hold.tokens,
             )
 
 
-def _make_entry(ask: Ask, budget: str, outcome: Outcome) -> Entry:
+def _make_entry(
+    context: RequestContext, budget: str, outcome: Outcome
+) -> Entry:
     return Entry(
-        key=f'{ask.workspace}|{ask.key}',
+        key=f'{context.workspace}|{context.key}',
         kind=EntryKind.finished,
-        run=ask.request,
+        run=context.request,
         budget=budget,
         tokens=outcome.billed,
         outcome=outcome.text,
--- a/src/dykemast/_internal/path/orders.py
+++ b/src/dykemast/_internal/path/orders.py
@@ -5,11 +5,11 @@
 
 from starlette.datastructures import Headers
 
-from dykemast._internal.models.requests import Order
+from dykemast._internal.models.requests import BackendRequest
 from dykemast._internal.models.revisions import ModelSpec, ServiceSpec
 from dykemast._internal.operations.rendezvous import hash_text
 from dykemast._internal.path.chat_bodies import refuse_bad
-from dykemast._internal.utils.hop_fields import HOP_FIELDS
+from dykemast._internal.utils.hop_by_hop_headers import HOP_BY_HOP_HEADERS
 
 #: Path of the chat completions, here and at the engines.
 CHAT_PATH: Final = '/v1/chat/completions'
@@ -22,7 +22,7 @@
 _CAPS: Final = frozenset(('max_tokens', 'max_completion_tokens'))
 #: Fields that end here: those of one connection, those for this router, and
 #: the fencing number, which only a router may say.
-_ENDS_HERE: Final = HOP_FIELDS.union(
+_ENDS_HERE: Final = HOP_BY_HOP_HEADERS.union(
     (
         'authorization',
         'host',
@@ -43,7 +43,7 @@
     fields: dict[str, Any],
     model: ModelSpec,
     priority: int,
-) -> Order:
+) -> BackendRequest:
     """Make the order for a model.
 
     The output cap is always sent, and the prompt cannot have more tokens
@@ -59,15 +59,15 @@
     sent = _fill_fields(fields, model['name'], cap)
     sent['priority'] = priority
     prompt = _bound_prompt(fields)
-    return Order(
+    return BackendRequest(
         service=model['service'],
         model=model['name'],
         path=CHAT_PATH,
         method='POST',
         headers={'content-type': 'application/json'},
         body=json.dumps(sent).encode(),
-        bound=prompt + cap,
-        prompt_bound=prompt,
+        token_limit=prompt + cap,
+        prompt_token_limit=prompt,
         prefix=hash_text(str(fields['messages'])[:PREFIX_CHARACTERS]),
         priority=priority,
     )
@@ -93,7 +93,7 @@
     path: str,
     method: str,
     headers: Headers,
-) -> Order:
+) -> BackendRequest:
     """Make the order for a call of a plain service.
 
     :param service: the service.
@@ -106,14 +106,14 @@
     passed = {
         name: text for name, text in headers.items() if name not in ends_here
     }
-    return Order(
+    return BackendRequest(
         service=service['name'],
         model='',
         path=path,
         method=method,
         headers=passed,
         body=b'',
-        bound=service.get('call_tokens', 0),
+        token_limit=service.get('call_tokens', 0),
     )
 
 
--- a/src/dykemast/_internal/path/routes.py
+++ b/src/dykemast/_internal/path/routes.py
@@ -9,7 +9,7 @@
 from dykemast._internal.models.fleet import Instance
 from dykemast._internal.models.requests import (
     Code,
-    Order,
+    BackendRequest,
     Ran,
     Refusal,
 )
@@ -39,50 +39,54 @@
     response: aiohttp.ClientResponse
 
 
-async def send_order(parts: Parts, job: Job, order: Order) -> Upstream:
+async def send_order(
+    parts: Parts, job: Job, backend_request: BackendRequest
+) -> Upstream:
     """Send an order to the best worker, or to the next where that is safe.
 
     :param parts: parts of the router.
     :param job: the request.
-    :param order: what to send.
+    :param backend_request: what to send.
     :returns: the answer that has begun.
     :raises RefusedError: when no worker gave one.
     """
-    await enter_gate(parts, job, order)
+    await enter_gate(parts, job, backend_request)
     parts.breakers.record_request()
-    ranked = rank_candidates(parts, order)
+    ranked = rank_candidates(parts, backend_request)
     failure: UpstreamError | None = None
     for candidate in ranked[:MAX_TRIES]:
         if failure and not _may_retry(parts, job, failure):
             break
         try:
-            return await _try_worker(parts, job, order, candidate)
+            return await _try_worker(parts, job, backend_request, candidate)
         except UpstreamError as error:
             failure = _worse(failure, error)
-    raise RefusedError(_refuse(job, order, failure))
+    raise RefusedError(_refuse(job, backend_request, failure))
 
 
 async def _try_worker(
     parts: Parts,
     job: Job,
-    order: Order,
+    backend_request: BackendRequest,
     candidate: Candidate,
 ) -> Upstream:
     instance = candidate.instance
     _log.info(
         'route: {} of {} to {} in {} ({} in flight, {} reported).',
-        job.ask.request,
-        job.ask.workspace,
+        job.context.request,
+        job.context.workspace,
         instance.name,
         instance.hall,
         candidate.inflight,
         candidate.report.running,
     )
     try:
-        response = await parts.backends.send(instance, order, job.ask)
+        response = await parts.backends.send(
+            instance, backend_request, job.context
+        )
     except UpstreamError as error:
         parts.breakers.record_failure(instance.name, read_clock())
-        _log.warning('route: {} failed: {}', job.ask.request, error)
+        _log.warning('route: {} failed: {}', job.context.request, error)
         raise
     parts.breakers.record_success(instance.name)
     note_sent(parts, job, instance.name)
@@ -90,11 +94,14 @@
 
 
 def _may_retry(parts: Parts, job: Job, failure: UpstreamError) -> bool:
-    if read_clock() > job.ask.deadline or not parts.breakers.consume_retry():
+    if (
+        read_clock() > job.context.deadline
+        or not parts.breakers.consume_retry()
+    ):
         return False
     if not failure.sent:
         return True
-    return job.ask.repeatable and job.charge_lost()
+    return job.context.repeatable and job.charge_lost()
 
 
 def _worse(before: UpstreamError | None, error: UpstreamError) -> UpstreamError:
@@ -103,15 +110,15 @@
 
 def _refuse(
     job: Job,
-    order: Order,
+    backend_request: BackendRequest,
     failure: UpstreamError | None,
 ) -> Refusal:
     if failure is None:
-        wanted = order.model or 'room'
-        text = f'No worker of {order.service} has {wanted} now.'
+        wanted = backend_request.model or 'room'
+        text = f'No worker of {backend_request.service} has {wanted} now.'
         return Refusal(Code.no_worker, text, retry_after=WORKER_RETRY)
     ran = Ran.unknown if failure.sent else Ran.not_run
-    if read_clock() >= job.ask.deadline:
+    if read_clock() >= job.context.deadline:
         text = 'The deadline passed before the backend server answered.'
         return Refusal(Code.too_late, text, ran)
     text = f'The backend server failed: {failure}'
--- a/src/dykemast/_internal/platform/answer_headers.py
+++ b/src/dykemast/_internal/platform/answer_headers.py
@@ -7,7 +7,7 @@
 from dykemast._internal.models.backend import Backpressure
 from dykemast._internal.models.forwarding import ResponseHead
 from dykemast._internal.platform import names
-from dykemast._internal.utils.hop_fields import HOP_FIELDS
+from dykemast._internal.utils.hop_by_hop_headers import HOP_BY_HOP_HEADERS
 
 #: How the client library decodes fields; bytes that are no UTF-8 survive it.
 _ENCODING: Final = 'utf-8'
@@ -33,7 +33,7 @@
     headers = [
         (_encode(name.lower()), _encode(text))
         for name, text in fields.items()
-        if name.lower() not in HOP_FIELDS
+        if name.lower() not in HOP_BY_HOP_HEADERS
     ]
     return ResponseHead(
         status=status,
--- a/src/dykemast/_internal/platform/caller_fields.py
+++ b/src/dykemast/_internal/platform/caller_fields.py
@@ -10,13 +10,13 @@
 from typing import Final
 
 from dykemast._internal.platform import names
-from dykemast._internal.utils.hop_fields import HOP_FIELDS
+from dykemast._internal.utils.hop_by_hop_headers import HOP_BY_HOP_HEADERS
 
 Fields = list[tuple[str, str]]
 
 _CONNECTION: Final = 'connection'
 #: Names with a meaning, so that no other field may be read as one of them.
-_TAKEN: Final = HOP_FIELDS | names.OWN_FIELDS | names.CALLER_FIELDS
+_TAKEN: Final = HOP_BY_HOP_HEADERS | names.OWN_FIELDS | names.CALLER_FIELDS
 _FAMILIES: Final = tuple(f'{name}-' for name in names.CONTROL_FAMILIES)
 
 
--- a/src/dykemast/_internal/platform/configuration.py
+++ b/src/dykemast/_internal/platform/configuration.py
@@ -2,7 +2,7 @@
 
 from typing import Any, Final
 
-from dykemast._internal.exceptions import NotUsableError
+from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.models.routing_table import (
     RoutingTable,
     Workspace,
@@ -40,7 +40,7 @@
         return _decode(stored)
     except _MISFITS as error:
         text = f'{type(error).__name__}: {error}'
-        raise NotUsableError(text) from error
+        raise InvalidDataError(text) from error
 
 
 def _decode(stored: StoreObject) -> RoutingTable:
--- a/src/dykemast/_internal/platform/member_cards.py
+++ b/src/dykemast/_internal/platform/member_cards.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from dykemast._internal.exceptions import NotUsableError
+from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.models.fleet import PeerCard
 from dykemast._internal.platform.endpoints import decode_endpoint
 from dykemast._internal.platform.store_types import StoreObject
@@ -18,9 +18,9 @@
     try:
         card = _decode(stored)
     except ValueError as error:
-        raise NotUsableError(f'no router: {error}') from error
+        raise InvalidDataError(f'no router: {error}') from error
     if card.instance != stored.name:
-        raise NotUsableError(f'it tells of {card.instance}.')
+        raise InvalidDataError(f'it tells of {card.instance}.')
     return card
 
 
--- a/src/dykemast/_internal/platform/request_headers.py
+++ b/src/dykemast/_internal/platform/request_headers.py
@@ -56,12 +56,12 @@
         path=scope['path'],
         target=_decode_target(scope),
         key=_decode_key(fields.get(names.AUTHORIZATION, '')),
-        patience=decode_patience(fields.get(names.DEADLINE)),
+        timeout_s=decode_patience(fields.get(names.DEADLINE)),
         headers=choose_passed_on(pairs),
         prompt_tokens=tokens.prompt,
         output_tokens=tokens.output,
         prompt=decode_prompt(fields.get(names.PROMPT)),
-        after_event=fields.get(names.LAST_EVENT, ''),
+        last_event_id=fields.get(names.LAST_EVENT, ''),
     )
 
 
@@ -84,9 +84,9 @@
         own.append((names.WORKSPACE, added.workspace))
     if added.priority is not None:
         own.append((names.PRIORITY, str(added.priority)))
-    after_event = added.after_event or request.after_event
-    if after_event:
-        own.append((names.LAST_EVENT, after_event))
+    last_event_id = added.last_event_id or request.last_event_id
+    if last_event_id:
+        own.append((names.LAST_EVENT, last_event_id))
     return [*request.headers, *own]
 
 
--- a/src/dykemast/_internal/platform/servers.py
+++ b/src/dykemast/_internal/platform/servers.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dykemast._internal.exceptions import NotUsableError
+from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.models.backend import BackendServer
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.platform.endpoints import decode_endpoint
@@ -57,11 +57,11 @@
     :raises NotUsableError: when it names no server to use.
     """
     if not _ID.fullmatch(stored.name):
-        raise NotUsableError('the id is no word of visible characters.')
+        raise InvalidDataError('the id is no word of visible characters.')
     try:
         return _decode(stored)
     except ValueError as error:
-        raise NotUsableError(f'the entry makes no sense: {error}') from error
+        raise InvalidDataError(f'the entry makes no sense: {error}') from error
 
 
 def _decode(stored: StoreObject) -> BackendServer:
--- a/src/dykemast/_internal/platform/store_codec.py
+++ b/src/dykemast/_internal/platform/store_codec.py
@@ -6,7 +6,7 @@
 
 from dykemast._internal.exceptions import (
     MissingObjectError,
-    PlatformAwayError,
+    PlatformUnavailableError,
     PlatformError,
     VersionConflictError,
 )
@@ -73,5 +73,5 @@
     """
     if answer.status not in _DONE:
         text = f'the store answered {answer.status}.'
-        raise PlatformAwayError(text, refused=answer.status in _REFUSED)
+        raise PlatformUnavailableError(text, refused=answer.status in _REFUSED)
     return answer.body
--- a/src/dykemast/_internal/serving/admission/admission.py
+++ b/src/dykemast/_internal/serving/admission/admission.py
@@ -14,7 +14,7 @@
     find_table,
     find_workspace,
 )
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.serving.requests.refusals import (
     RefusalCode,
     RefusedError,
@@ -22,7 +22,7 @@
 from dykemast._internal.utils.clock import read_clock
 
 
-def admit(board: ServingBoard, scope: Any) -> Ticket:
+def admit(board: ServingBoard, scope: Any) -> AdmittedRequest:
     """Let a request in.
 
     :param board: the blackboard.
@@ -34,7 +34,7 @@
     table = find_table(board)
     route = find_route(board, table, request)
     started = read_clock()
-    ticket = Ticket(
+    admitted = AdmittedRequest(
         request=_keep_resumption(request, route),
         route=route,
         service=table.services[_draw_share(route.shares)],
@@ -43,14 +43,14 @@
         deadline=started + _limit_time(request, route),
         version=table.version,
     )
-    _check_path(ticket)
-    check_stop(board, ticket)
-    return ticket
+    _check_path(admitted)
+    check_stop(board, admitted)
+    return admitted
 
 
-def _check_path(ticket: Ticket) -> None:
-    if ticket.service.engine and is_engine_call(ticket.request.path):
-        details = {'path': ticket.request.path, 'reason': 'a call of routers'}
+def _check_path(admitted: AdmittedRequest) -> None:
+    if admitted.service.engine and is_engine_call(admitted.request.path):
+        details = {'path': admitted.request.path, 'reason': 'a call of routers'}
         raise RefusedError(RefusalCode.no_route, details)
 
 
@@ -67,13 +67,13 @@
 
 def _keep_resumption(request: CallerRequest, route: Route) -> CallerRequest:
     """Forget where a caller would go on, unless its route allows that."""
-    return request if route.resumable else request._replace(after_event='')
+    return request if route.resumable else request._replace(last_event_id='')
 
 
 def _limit_time(request: CallerRequest, route: Route) -> float:
-    if request.patience is None:
+    if request.timeout_s is None:
         return route.timeout
-    return min(request.patience, route.timeout)
+    return min(request.timeout_s, route.timeout)
 
 
 def _draw_share(shares: tuple[Share, ...]) -> str:
--- a/src/dykemast/_internal/serving/admission/gates.py
+++ b/src/dykemast/_internal/serving/admission/checks.py
@@ -22,7 +22,7 @@
     RefusalCode,
     RefusedError,
 )
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 
@@ -41,10 +41,10 @@
 #: get its request: halls are emptied for longer than most callers wait.
 HALLS_RETRY: Final = 2.0
 #: The same when there are no servers at all, as at a start.
-SERVER_RETRY: Final = 0.4
+NO_SERVER_RETRY_S: Final = 0.4
 
 
-def check_gates(board: ServingBoard) -> None:
+def check_preconditions(board: ServingBoard) -> None:
     """Check that this router has time, and knows enough, for a request.
 
     :param board: the blackboard.
@@ -65,39 +65,41 @@
         raise refuse_for_now(known, of='evacuations')
 
 
-def check_servers(board: ServingBoard, ticket: Ticket) -> None:
+def check_servers(board: ServingBoard, admitted: AdmittedRequest) -> None:
     """Check that a server may get a request, before anything is held for it.
 
     :param board: the blackboard.
-    :param ticket: the request.
+    :param admitted: the request.
     :raises RefusedError: when none may.
     """
-    service = ticket.service.name
-    if list_allowed(board, service, ticket.list_allowed_regions()):
+    service = admitted.service.name
+    if list_allowed(board, service, admitted.list_allowed_regions()):
         return
     listed = bool(list_usable(board, service))
     raise RefusedError(
         RefusalCode.no_server,
-        describe_halls(board, ticket),
-        HALLS_RETRY if listed else SERVER_RETRY,
+        describe_restrictions(board, admitted),
+        HALLS_RETRY if listed else NO_SERVER_RETRY_S,
     )
 
 
-def describe_halls(board: ServingBoard, ticket: Ticket) -> dict[str, Any]:
+def describe_restrictions(
+    board: ServingBoard, admitted: AdmittedRequest
+) -> dict[str, Any]:
     """Describe what bounds the servers that may get a request.
 
     :param board: the blackboard.
-    :param ticket: the request.
+    :param admitted: the request.
     :returns: fields for the log.
     """
-    usable = list_usable(board, ticket.service.name)
+    usable = list_usable(board, admitted.service.name)
     return {
         'usable': len(usable),
         'held_back': describe_backpressure(board, usable),
         'emptied': sorted(board.evacuations.halls),
         'homes': [
             sorted(allowed_regions)
-            for allowed_regions in ticket.list_allowed_regions()
+            for allowed_regions in admitted.list_allowed_regions()
         ],
     }
 
--- a/src/dykemast/_internal/serving/admission/in_progress.py
+++ b/src/dykemast/_internal/serving/admission/in_progress.py
@@ -10,7 +10,7 @@
     RefusalCode,
     RefusedError,
 )
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.utils.waiting import POLL_TIME
 
 
@@ -19,40 +19,42 @@
 STOPPING_RETRY: Final = 0.05
 
 
-def check_stop(board: ServingBoard, ticket: Ticket) -> None:
+def check_stop(board: ServingBoard, admitted: AdmittedRequest) -> None:
     """Check that a request will end before this router.
 
     :param board: the blackboard.
-    :param ticket: the request.
+    :param admitted: the request.
     :raises RefusedError: when this router is stopping and might cut it off.
     """
     plan = board.stop_plan
     if plan is None:
         return
     usual = board.usual_times.estimate_duration(
-        ticket.route.name, ticket.started
+        admitted.route.name, admitted.started
     )
-    if plan.may_admit(ticket.started, ticket.deadline, usual):
+    if plan.may_admit(admitted.started, admitted.deadline, usual):
         return
     details = {
-        'left_s': round(ticket.deadline - ticket.started, 3),
+        'left_s': round(admitted.deadline - admitted.started, 3),
         'usual_s': round(usual, 3),
-        'router_left_s': round(plan.cut_at - ticket.started, 3),
+        'router_left_s': round(plan.cancel_at - admitted.started, 3),
     }
     raise RefusedError(RefusalCode.stopping, details, STOPPING_RETRY)
 
 
 @contextlib.contextmanager
-def count_running(board: ServingBoard, ticket: Ticket) -> Iterator[None]:
+def count_running(
+    board: ServingBoard, admitted: AdmittedRequest
+) -> Iterator[None]:
     """Count the current task as a request in progress.
 
     :param board: the blackboard.
-    :param ticket: the request.
+    :param admitted: the request.
     """
     task = asyncio.current_task()
     board.tasks.add(task)
     try:
-        with board.usual_times.track(ticket.route.name, ticket.started):
+        with board.usual_times.track(admitted.route.name, admitted.started):
             yield
     finally:
         board.tasks.discard(task)
--- a/src/dykemast/_internal/serving/admission/lookups.py
+++ b/src/dykemast/_internal/serving/admission/lookups.py
@@ -8,8 +8,8 @@
     RoutingTable,
     Workspace,
 )
-from dykemast._internal.serving.admission.gates import (
-    check_gates,
+from dykemast._internal.serving.admission.checks import (
+    check_preconditions,
     refuse_for_now,
 )
 from dykemast._internal.serving.knowledge.freshness import (
@@ -39,7 +39,7 @@
         raise RefusedError(
             RefusalCode.no_configuration, retry_after=CONFIGURATION_RETRY
         )
-    check_gates(board)
+    check_preconditions(board)
     return table
 
 
--- a/src/dykemast/_internal/serving/choice/candidates.py
+++ b/src/dykemast/_internal/serving/choice/candidates.py
@@ -8,7 +8,7 @@
 from dykemast._internal.serving.knowledge.backends import list_allowed
 from dykemast._internal.serving.knowledge.cold_servers import is_cold
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.serving.sending import send_checks
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
@@ -18,33 +18,33 @@
 
 def list_untried(
     parts: Parts,
-    ticket: Ticket,
+    admitted: AdmittedRequest,
     tried: Iterable[str],
 ) -> list[BackendServer]:
     """List the servers that a request may go to, sooner or later.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param tried: servers that had it before.
     :returns: the servers, also those that get nothing for a while.
     """
-    present = _list_present(parts, ticket)
+    present = _list_present(parts, admitted)
     return [server for server in present if server.name not in tried]
 
 
 def list_open(
     parts: Parts,
-    ticket: Ticket,
+    admitted: AdmittedRequest,
     servers: Iterable[BackendServer],
 ) -> list[BackendServer]:
     """List the servers that may get a request now.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param servers: of its service.
     :returns: those that bear it, and where only a rate, whose turn it is.
     """
-    return [one for one in servers if not compute_wait(parts, ticket, one)]
+    return [one for one in servers if not compute_wait(parts, admitted, one)]
 
 
 def choose_apart(
@@ -64,49 +64,53 @@
     return by_name[name] if name else None
 
 
-def compute_wait(parts: Parts, ticket: Ticket, server: BackendServer) -> float:
+def compute_wait(
+    parts: Parts, admitted: AdmittedRequest, server: BackendServer
+) -> float:
     """Measure for how long a server gets nothing from this router.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param server: of its service.
     :returns: seconds; infinite while only other routers may send to it.
     """
     return send_checks.compute_wait(
-        parts.board, parts.turns, server, ticket.service.cold_rate
+        parts.board, parts.turns, server, admitted.service.cold_rate
     )
 
 
 def compute_min_wait(
     parts: Parts,
-    ticket: Ticket,
+    admitted: AdmittedRequest,
     tried: Iterable[str] = (),
 ) -> float:
     """Find how long it takes until some server may get a request.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param tried: servers that had it before.
     :returns: seconds; infinite when none may, as far as is known.
     """
     waits = (
-        compute_wait(parts, ticket, server)
-        for server in list_untried(parts, ticket, tried)
+        compute_wait(parts, admitted, server)
+        for server in list_untried(parts, admitted, tried)
     )
     return min(waits, default=math.inf)
 
 
-def note_chosen(parts: Parts, ticket: Ticket, server: BackendServer) -> None:
+def note_chosen(
+    parts: Parts, admitted: AdmittedRequest, server: BackendServer
+) -> None:
     """Take note that a server gets a request.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param server: the server.
     """
     now = read_clock()
     parts.turns.record_sent(server.name, now)
-    request = ticket.request.request_id
-    if ticket.service.cold_rate and is_cold(parts.board, server.name, now):
+    request = admitted.request.request_id
+    if admitted.service.cold_rate and is_cold(parts.board, server.name, now):
         parts.metrics.cold_sends.inc({'service': server.service})
         _log(
             'send_to_cold',
@@ -126,10 +130,12 @@
         )
 
 
-def _list_present(parts: Parts, ticket: Ticket) -> list[BackendServer]:
+def _list_present(
+    parts: Parts, admitted: AdmittedRequest
+) -> list[BackendServer]:
     """List allowed servers, without those found absent if there are others."""
-    allowed_regions = ticket.list_allowed_regions()
-    allowed = list_allowed(parts.board, ticket.service.name, allowed_regions)
+    allowed_regions = admitted.list_allowed_regions()
+    allowed = list_allowed(parts.board, admitted.service.name, allowed_regions)
     now = read_clock()
     present = [
         one
--- a/src/dykemast/_internal/serving/choice/choices.py
+++ b/src/dykemast/_internal/serving/choice/choices.py
@@ -21,44 +21,44 @@
 )
 from dykemast._internal.serving.state.loads import compute_load
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.utils.clock import read_clock
 
 
 def choose_server(
     parts: Parts,
-    ticket: Ticket,
+    admitted: AdmittedRequest,
     tried: Iterable[str],
     apart: str = '',
 ) -> BackendServer | None:
     """Choose a backend server.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param tried: servers that had it before.
     :param apart: its digest, when a server has ended under it.
     :returns: a server, or nothing when there is none left.
     """
-    usable = list_open(parts, ticket, list_untried(parts, ticket, tried))
-    server = _choose(parts, ticket, usable, apart)
+    usable = list_open(parts, admitted, list_untried(parts, admitted, tried))
+    server = _choose(parts, admitted, usable, apart)
     if server:
-        note_chosen(parts, ticket, server)
+        note_chosen(parts, admitted, server)
     return server
 
 
 def _choose(
     parts: Parts,
-    ticket: Ticket,
+    admitted: AdmittedRequest,
     usable: list[BackendServer],
     apart: str,
 ) -> BackendServer | None:
     if apart:
         return choose_apart(usable, apart)
-    if ticket.service.engine:
+    if admitted.service.engine:
         home = choose_prefix_owner(
-            ticket.request.prompt, (one.name for one in usable)
+            admitted.request.prompt, (one.name for one in usable)
         )
-        engines = [_weigh_engine(parts, ticket, one, home) for one in usable]
+        engines = [_weigh_engine(parts, admitted, one, home) for one in usable]
         name = choose_cheapest(engines, cost_engine, random.random)
     else:
         plain = [_weigh_plain(parts, one) for one in usable]
@@ -66,29 +66,31 @@
     return parts.board.servers[name] if name else None
 
 
-def count_uncached(parts: Parts, ticket: Ticket, server: str) -> int:
+def count_uncached(parts: Parts, admitted: AdmittedRequest, server: str) -> int:
     """Count the prompt tokens that an engine would have to read.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param server: id of the engine.
     :returns: tokens.
     """
-    request = ticket.request
+    request = admitted.request
     kept = parts.loads.caches.count_cached(server, request.prompt)
     return max(0, request.prompt_tokens - kept)
 
 
-def _count_missing_shared(parts: Parts, ticket: Ticket, server: str) -> int:
+def _count_missing_shared(
+    parts: Parts, admitted: AdmittedRequest, server: str
+) -> int:
     # The last part is the request's own, or its session's.
-    shared = ticket.request.prompt[:-1]
+    shared = admitted.request.prompt[:-1]
     total = sum(part.tokens for part in shared)
     return total - parts.loads.caches.count_cached(server, shared)
 
 
 def _weigh_engine(
     parts: Parts,
-    ticket: Ticket,
+    admitted: AdmittedRequest,
     server: BackendServer,
     home: str | None,
 ) -> EngineOption:
@@ -99,11 +101,11 @@
         running=load.running,
         slots=server.slots,
         unread=load.unread,
-        missing=count_uncached(parts, ticket, name),
+        missing=count_uncached(parts, admitted, name),
         missing_shared=0
         if name == home
-        else _count_missing_shared(parts, ticket, name),
-        tokens_per_event=ticket.service.get_tokens_per_event(),
+        else _count_missing_shared(parts, admitted, name),
+        tokens_per_event=admitted.service.get_tokens_per_event(),
         pause_risk=0,
         trust=parts.trust.get_score(name, read_clock()),
     )
--- a/src/dykemast/_internal/serving/knowledge/configuration.py
+++ b/src/dykemast/_internal/serving/knowledge/configuration.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from dykemast._internal.exceptions import NotUsableError
+from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.platform.configuration import (
     CONFIGURATION_KIND,
     CONFIGURATION_NAME,
@@ -92,7 +92,7 @@
     """
     try:
         _decode_and_take(board, body, peer)
-    except NotUsableError as error:
+    except InvalidDataError as error:
         _log('configuration_not_usable', peer=peer, reason=str(error))
 
 
--- a/src/dykemast/_internal/serving/knowledge/crash_objects.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_objects.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from dykemast._internal.exceptions import (
-    NotUsableError,
+    InvalidDataError,
     VersionConflictError,
 )
 from dykemast._internal.models.crashes import CrashRecord
@@ -39,6 +39,6 @@
 def _decode_known(stored: StoreObject) -> CrashRecord | None:
     try:
         return decode_record(stored.name, stored.spec)
-    except NotUsableError:
+    except InvalidDataError:
         # It is written over: nobody could read it.
         return None
--- a/src/dykemast/_internal/serving/knowledge/evacuations.py
+++ b/src/dykemast/_internal/serving/knowledge/evacuations.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from dykemast._internal.exceptions import NotUsableError
+from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.models.backend import Evacuations
 from dykemast._internal.platform.servers import EVACUATION_KIND
 from dykemast._internal.platform.store_types import StoreObject
@@ -30,7 +30,7 @@
         known = board.settings.regions
         if known and stored.name not in known:
             # Kept, it would stand in all news of all routers.
-            raise NotUsableError('there is no such hall.')
+            raise InvalidDataError('there is no such hall.')
         halls.add(stored.name)
 
     def remove_object(name: str) -> None:
--- a/src/dykemast/_internal/serving/knowledge/server_lists.py
+++ b/src/dykemast/_internal/serving/knowledge/server_lists.py
@@ -1,6 +1,6 @@
 """Pass the list of backend servers from router to router."""
 
-from dykemast._internal.exceptions import NotUsableError
+from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.models.gossip import ListState
 from dykemast._internal.platform.store_types import Listing
 from dykemast._internal.serving.knowledge.server_entries import make_updater
@@ -48,7 +48,7 @@
     """
     try:
         listing = unpack(body, Listing)
-    except NotUsableError as error:
+    except InvalidDataError as error:
         _log('servers_not_usable', peer=peer, reason=str(error))
         return
     if listing.revision > board.server_state.revision:
--- a/src/dykemast/_internal/serving/knowledge/updates.py
+++ b/src/dykemast/_internal/serving/knowledge/updates.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dykemast._internal.exceptions import NotUsableError
+from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.platform.store_types import (
     Changes,
     Listing,
@@ -74,7 +74,7 @@
 def _take(updater: Updater, stored: StoreObject) -> None:
     try:
         updater.apply_object(stored)
-    except NotUsableError as error:
+    except InvalidDataError as error:
         updater.remove_invalid(stored.name)
         _tell_unusable(updater, stored, error)
 
@@ -82,7 +82,7 @@
 def _tell_unusable(
     updater: Updater,
     stored: StoreObject,
-    error: NotUsableError,
+    error: InvalidDataError,
 ) -> None:
     if updater.told.get(stored.name) == stored.revision:
         return
--- a/src/dykemast/_internal/serving/members/gossip_messages.py
+++ b/src/dykemast/_internal/serving/members/gossip_messages.py
@@ -1,6 +1,6 @@
 """News of this router, and what is taken from those of others."""
 
-from dykemast._internal.exceptions import NotUsableError
+from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.models.gossip import GossipMessage, RelayedLoads
 from dykemast._internal.serving.knowledge import ages, backends
 from dykemast._internal.serving.knowledge.evacuations import apply_evacuations
@@ -14,7 +14,7 @@
 )
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
-from dykemast._internal.utils.packing import FAST, pack, unpack
+from dykemast._internal.utils.packing import FAST_COMPRESSION, pack, unpack
 
 _log = make_logger('gossip')
 
@@ -54,7 +54,7 @@
         )
         # Packed to half, for little processor time: news are most of what
         # passes between halls in calm.
-        return pack(message, FAST)
+        return pack(message, FAST_COMPRESSION)
 
     def apply_message(self, body: bytes) -> GossipMessage | None:
         """Take a peer's news; those that make no sense are logged.
@@ -67,7 +67,7 @@
         """
         try:
             message = unpack(body, GossipMessage)
-        except NotUsableError as error:
+        except InvalidDataError as error:
             _log('news_not_usable', reason=str(error))
             return None
         self._take(message)
--- a/src/dykemast/_internal/serving/members/members.py
+++ b/src/dykemast/_internal/serving/members/members.py
@@ -4,7 +4,7 @@
 from collections.abc import Coroutine
 from typing import Any, Final
 
-from dykemast._internal.exceptions import NotUsableError, PlatformError
+from dykemast._internal.exceptions import InvalidDataError, PlatformError
 from dykemast._internal.models.fleet import PeerCard
 from dykemast._internal.platform.member_cards import decode_card
 from dykemast._internal.platform.objects import ObjectStore
@@ -96,7 +96,7 @@
 def _meet_listed(board: ServingBoard, stored: StoreObject) -> None:
     try:
         record_peer(board, decode_card(stored))
-    except NotUsableError as error:
+    except InvalidDataError as error:
         _log('member_not_usable', name=stored.name, reason=str(error))
 
 
--- a/src/dykemast/_internal/serving/process/application.py
+++ b/src/dykemast/_internal/serving/process/application.py
@@ -74,13 +74,13 @@
     responder: Responder,
 ) -> None:
     body = await read_body(receive, _limit_body(parts))
-    ticket = admit(parts.board, scope)
-    records.log_admitted(ticket, _describe_connection(scope))
-    with count_running(parts.board, ticket):
-        asked = exchange.open_exchange(parts, ticket, body, responder)
+    admitted = admit(parts.board, scope)
+    records.log_admitted(admitted, _describe_connection(scope))
+    with count_running(parts.board, admitted):
+        asked = exchange.open_exchange(parts, admitted, body, responder)
         served = await run_until_left(dispatch.serve(asked), receive)
     outcome = records.SERVED if served else 'caller_left'
-    records.note_end(parts, ticket, outcome)
+    records.note_end(parts, admitted, outcome)
 
 
 def _describe_connection(scope: Any) -> str:
--- a/src/dykemast/_internal/serving/process/clock_watch.py
+++ b/src/dykemast/_internal/serving/process/clock_watch.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Final
 
-from dykemast._internal.operations.loop_watch import WATCH_PAUSE
+from dykemast._internal.operations.event_loop_monitor import WATCH_PAUSE
 from dykemast._internal.serving.knowledge.ages import compute_ages
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import (
--- a/src/dykemast/_internal/serving/process/crash_loops.py
+++ b/src/dykemast/_internal/serving/process/crash_loops.py
@@ -6,10 +6,10 @@
 from dykemast._internal.serving.knowledge.watches import watch_kind
 from dykemast._internal.serving.process.assembly import Assembly
 from dykemast._internal.serving.relay.crash_watch import watch_breaks
-from dykemast._internal.utils.supervision import Loop
+from dykemast._internal.utils.supervision import BackgroundLoop
 
 
-def list_crash_loops(assembly: Assembly) -> list[Loop]:
+def list_crash_loops(assembly: Assembly) -> list[BackgroundLoop]:
     """List these loops.
 
     :param assembly: the parts of the program.
@@ -20,14 +20,14 @@
     records = crash_records.make_updater(board)
     follow = partial(watch_kind, board, store, records)
     return [
-        Loop(
+        BackgroundLoop(
             'read_records',
             partial(crash_records.read_records, board, store, records),
         ),
-        Loop(f'follow_kind:{records.kind}', follow),
-        Loop(
+        BackgroundLoop(f'follow_kind:{records.kind}', follow),
+        BackgroundLoop(
             'write_records',
             partial(crash_writes.write_records, board, store),
         ),
-        Loop('watch_breaks', partial(watch_breaks, assembly.parts)),
+        BackgroundLoop('watch_breaks', partial(watch_breaks, assembly.parts)),
     ]
--- a/src/dykemast/_internal/serving/process/loops.py
+++ b/src/dykemast/_internal/serving/process/loops.py
@@ -28,7 +28,7 @@
 from dykemast._internal.serving.process.loop_ends import tell_end
 from dykemast._internal.serving.process.reload import follow_settings
 from dykemast._internal.utils.events import LineHandler, make_logger
-from dykemast._internal.utils.supervision import Loop, start_loops
+from dykemast._internal.utils.supervision import BackgroundLoop, start_loops
 
 _log = make_logger('router')
 
@@ -56,13 +56,13 @@
     :returns: their tasks.
     """
     first = (
-        Loop('write_lines', lines.write_lines),
-        Loop('follow_settings', partial(follow_settings, board)),
+        BackgroundLoop('write_lines', lines.write_lines),
+        BackgroundLoop('follow_settings', partial(follow_settings, board)),
     )
     return start_loops(first, board.loops, tell_end)
 
 
-def list_loops(assembly: Assembly) -> list[Loop]:
+def list_loops(assembly: Assembly) -> list[BackgroundLoop]:
     """List the loops of the program.
 
     :param assembly: its parts.
@@ -75,23 +75,27 @@
         *(_make_read_loop(board, store, one) for one in periodic_read),
         *(_make_watch_loop(board, store, one.updater) for one in periodic_read),
         *list_crash_loops(assembly),
-        Loop('forget_lapsed', partial(backends.remove_expired, board)),
-        Loop('forget_gone', partial(forget_gone, assembly.parts)),
-        Loop('keep_listed', partial(members.keep_registered, board, store)),
-        Loop(
+        BackgroundLoop(
+            'forget_lapsed', partial(backends.remove_expired, board)
+        ),
+        BackgroundLoop('forget_gone', partial(forget_gone, assembly.parts)),
+        BackgroundLoop(
+            'keep_listed', partial(members.keep_registered, board, store)
+        ),
+        BackgroundLoop(
             'spread_news',
             partial(gossip.run_gossip, board, assembly.links.gossip),
         ),
-        Loop(
+        BackgroundLoop(
             'follow_table',
             partial(budget_upkeep.follow_table, assembly.upkeep),
         ),
-        Loop(
+        BackgroundLoop(
             'review_rows',
             partial(budget_upkeep.review_rows, assembly.upkeep),
         ),
-        Loop('watch_loop', partial(watch_clock, board)),
-        Loop('log_state', partial(_log_state, assembly)),
+        BackgroundLoop('watch_loop', partial(watch_clock, board)),
+        BackgroundLoop('log_state', partial(_log_state, assembly)),
     ]
 
 
@@ -111,9 +115,9 @@
     board: ServingBoard,
     store: ObjectStore,
     periodic_read: PeriodicRead,
-) -> Loop:
+) -> BackgroundLoop:
     kind = periodic_read.updater.kind
-    return Loop(
+    return BackgroundLoop(
         f'keep_fresh:{kind}',
         partial(read_periodically, board, store, periodic_read),
     )
@@ -123,9 +127,9 @@
     board: ServingBoard,
     store: ObjectStore,
     updater: Updater,
-) -> Loop:
+) -> BackgroundLoop:
     name = f'follow_kind:{updater.kind}'
-    return Loop(name, partial(watch_kind, board, store, updater))
+    return BackgroundLoop(name, partial(watch_kind, board, store, updater))
 
 
 async def _log_state(assembly: Assembly) -> None:
--- a/src/dykemast/_internal/serving/process/planned_stop.py
+++ b/src/dykemast/_internal/serving/process/planned_stop.py
@@ -41,7 +41,7 @@
     plan = _begin(board)
     leaving = asyncio.create_task(_leave(runtime))
     await wait_until(
-        lambda now: now > plan.stay_until and not board.inflight,
+        lambda now: now > plan.linger_until and not board.inflight,
         plan.give_back_at,
     )
     await _finish(runtime, plan)
@@ -62,7 +62,7 @@
         'stopping',
         inflight=board.inflight,
         late_s=round(now - since, 3),
-        named_s=round(plan.named_until - now, 3),
+        named_s=round(plan.advertised_until - now, 3),
         ends_s=round(plan.ends_by - now, 3),
     )
     return plan
@@ -86,8 +86,8 @@
     waited_for = board.inflight
     _log('admission_closed', inflight=waited_for)
     await asyncio.gather(
-        _give_back(runtime, plan.cut_at),
-        wait_until(lambda _: not board.inflight, plan.cut_at),
+        _give_back(runtime, plan.cancel_at),
+        wait_until(lambda _: not board.inflight, plan.cancel_at),
     )
     await in_progress.cut_off(board)
     if waited_for:
--- a/src/dykemast/_internal/serving/process/records.py
+++ b/src/dykemast/_internal/serving/process/records.py
@@ -6,7 +6,7 @@
 
 from dykemast._internal.platform.request_headers import find_request_id
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.serving.requests.refusals import RefusedError
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
@@ -32,24 +32,24 @@
     begun: bool
 
 
-def log_admitted(ticket: Ticket, connection: str) -> None:
+def log_admitted(admitted: AdmittedRequest, connection: str) -> None:
     """Log that a request was let in, and why so.
 
-    :param ticket: the request.
+    :param admitted: the request.
     :param connection: address of the caller's end of its connection; the same
         for all requests over one connection.
     """
-    request = ticket.request
-    workspace = ticket.workspace
+    request = admitted.request
+    workspace = admitted.workspace
     _log(
         'admitted',
         request=request.request_id,
-        route=ticket.route.name,
-        service=ticket.service.name,
+        route=admitted.route.name,
+        service=admitted.service.name,
         workspace=workspace.name if workspace else None,
-        version=ticket.version,
+        version=admitted.version,
         tokens=request.prompt_tokens + request.output_tokens,
-        left_s=round(ticket.deadline - ticket.started, 3),
+        left_s=round(admitted.deadline - admitted.started, 3),
         connection=connection,
     )
 
@@ -101,24 +101,24 @@
     )
 
 
-def note_end(parts: Parts, ticket: Ticket, outcome: str) -> None:
+def note_end(parts: Parts, admitted: AdmittedRequest, outcome: str) -> None:
     """Log and count the end of a request that was not refused.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param outcome: ``SERVED`` or ``caller_left``.
     """
     now = read_clock()
-    took = now - ticket.started
+    took = now - admitted.started
     if outcome == SERVED:
-        parts.board.usual_times.record(ticket.route.name, took, now)
-    kind = ticket.route.kind.value
+        parts.board.usual_times.record(admitted.route.name, took, now)
+    kind = admitted.route.kind.value
     parts.metrics.requests.inc({'kind': kind, 'outcome': outcome})
     parts.metrics.duration.observe({'kind': kind}, took)
     _log(
         outcome,
-        request=ticket.request.request_id,
-        route=ticket.route.name,
+        request=admitted.request.request_id,
+        route=admitted.route.name,
         took_s=round(took, 3),
     )
 
--- a/src/dykemast/_internal/serving/process/runtime.py
+++ b/src/dykemast/_internal/serving/process/runtime.py
@@ -14,7 +14,7 @@
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.parts import Parts
 from dykemast._internal.serving.process.loop_ends import tell_end
-from dykemast._internal.utils.supervision import Loop, start_loops
+from dykemast._internal.utils.supervision import BackgroundLoop, start_loops
 
 #: Connections that wait to be accepted.
 BACKLOG: Final = 512
@@ -58,7 +58,9 @@
     assembly: Assembly,
     listeners: list[Listener],
 ) -> list[asyncio.Task[None]]:
-    watch = Loop('watch_listeners', partial(watch_listeners, listeners))
+    watch = BackgroundLoop(
+        'watch_listeners', partial(watch_listeners, listeners)
+    )
     running = (*loops.list_loops(assembly), watch)
     return start_loops(running, assembly.parts.board.loops, tell_end)
 
--- a/src/dykemast/_internal/serving/relay/attempts.py
+++ b/src/dykemast/_internal/serving/relay/attempts.py
@@ -42,7 +42,7 @@
         self._exchange = exchange
         self._prepare = prepare
         self._parts = exchange.parts
-        self._ticket = exchange.ticket
+        self._admitted = exchange.admitted
         self._identity = exchange.identity
         self.tried: list[str] = []
         #: Whether the request may have run.
@@ -54,7 +54,7 @@
         :param deliver: sends it to one server and passes the answer on.
         :raises RefusedError: when it was not, and nothing more can be done.
         """
-        allowance = get_retry_budget(self._parts, self._ticket.service.name)
+        allowance = get_retry_budget(self._parts, self._admitted.service.name)
         allowance.record_request(read_clock())
         failure = await self._try(deliver, None)
         while failure:
@@ -80,7 +80,7 @@
             raise self._refuse(before, error) from error
         self.tried.append(server.name)
         send = Send(server, read_clock(), self._identity)
-        log_send(self._parts, self._ticket, send, len(self.tried))
+        log_send(self._parts, self._admitted, send, len(self.tried))
         try:
             await deliver(send)
         except UpstreamError as error:
@@ -101,6 +101,6 @@
             return refused or RefusedError(
                 RefusalCode.no_server, details, return_time
             )
-        if not has_time(self._ticket):
+        if not has_time(self._admitted):
             return RefusedError(RefusalCode.too_late, details)
         return RefusedError(RefusalCode.upstream_failed, details)
--- a/src/dykemast/_internal/serving/relay/dispatch.py
+++ b/src/dykemast/_internal/serving/relay/dispatch.py
@@ -1,7 +1,7 @@
 """Serve a request that was let in, by the kind of its route."""
 
 from dykemast._internal.models.routing_table import RouteKind
-from dykemast._internal.serving.admission.gates import check_servers
+from dykemast._internal.serving.admission.checks import check_servers
 from dykemast._internal.serving.admission.quarantine import admit_request
 from dykemast._internal.serving.relay import plain_calls, stream_requests
 from dykemast._internal.serving.relay.exchange import Exchange
@@ -13,11 +13,11 @@
     :param exchange: the request.
     :raises RefusedError: when it was not served whole.
     """
-    check_servers(exchange.parts.board, exchange.ticket)
+    check_servers(exchange.parts.board, exchange.admitted)
     # Before any tokens are held for it.
-    service = exchange.ticket.service.name
+    service = exchange.admitted.service.name
     with admit_request(exchange.parts.board, exchange.identity, service):
-        if exchange.ticket.route.kind is RouteKind.stream:
+        if exchange.admitted.route.kind is RouteKind.stream:
             await stream_requests.serve_stream(exchange)
         else:
             await plain_calls.serve_plain(exchange)
--- a/src/dykemast/_internal/serving/relay/event_streams.py
+++ b/src/dykemast/_internal/serving/relay/event_streams.py
@@ -31,7 +31,7 @@
     def __init__(self, exchange: Exchange, payment: Payment) -> None:
         """Read nothing yet."""
         self._parts = exchange.parts
-        self._ticket = exchange.ticket
+        self._admitted = exchange.admitted
         self._body = exchange.body
         self._attempts = Attempts(exchange, payment.hold_for_retry)
         self.relay = EventRelay(exchange.responder)
@@ -46,7 +46,7 @@
 
     async def _deliver(self, send: Send) -> None:
         server = send.server
-        unread = count_uncached(self._parts, self._ticket, server.name)
+        unread = count_uncached(self._parts, self._admitted, server.name)
         prefill = Prefill(self._parts, server.name, unread)
         try:
             await self._send(send, prefill)
@@ -64,19 +64,19 @@
             self._parts.loads.own.end(server.name)
 
     async def _send(self, send: Send, prefill: Prefill) -> None:
-        sending = make_upstream_request(self._ticket, self._body, send.server)
+        sending = make_upstream_request(self._admitted, self._body, send.server)
         sending = sending.resume_after(self.relay.last_event)
         async with self._parts.upstreams.send(sending) as answer:
             # From here on it ran, also when the answer is a failure.
             self._attempts.may_have_run = True
             self._payment.usage.record_start()
-            record_prompt(self._parts, self._ticket, send.server)
+            record_prompt(self._parts, self._admitted, send.server)
             if answer.head.status >= _FIRST_FAILURE:
                 await self._pass_failure(answer)
                 return
             self.relay.begin(answer.head)
-            meter = PauseMeter(self._parts, self._ticket, send)
-            async for chunk in answer.read_chunks(self._ticket.deadline):
+            meter = PauseMeter(self._parts, self._admitted, send)
+            async for chunk in answer.read_chunks(self._admitted.deadline):
                 if await self.relay.pass_chunk(chunk):
                     prefill.end()
                     self._payment.usage.record_read(self.relay.events)
@@ -85,5 +85,5 @@
             meter.log_end(self.relay.events)
 
     async def _pass_failure(self, answer: UpstreamResponse) -> None:
-        whole = await answer.read_whole(self._ticket.deadline)
+        whole = await answer.read_whole(self._admitted.deadline)
         await self.relay.pass_failure(answer.head, whole)
--- a/src/dykemast/_internal/serving/relay/exchange.py
+++ b/src/dykemast/_internal/serving/relay/exchange.py
@@ -5,21 +5,21 @@
 from dykemast._internal.operations.request_identity import RequestIdentity
 from dykemast._internal.serving.parts import Parts
 from dykemast._internal.serving.requests.responder import Responder
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 
 
 class Exchange(NamedTuple):
     """A request that is being served.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param body: its body.
     :param responder: answers the caller.
     :param identity: by which it is known again when it is asked anew.
     """
 
     parts: Parts
-    ticket: Ticket
+    admitted: AdmittedRequest
     body: bytes
     responder: Responder
     identity: RequestIdentity
@@ -27,18 +27,18 @@
 
 def open_exchange(
     parts: Parts,
-    ticket: Ticket,
+    admitted: AdmittedRequest,
     body: bytes,
     responder: Responder,
 ) -> Exchange:
     """Begin to serve a request.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param body: its body.
     :param responder: answers the caller.
     :returns: the exchange.
     """
-    workspace = ticket.workspace.name if ticket.workspace else ''
-    identity = RequestIdentity(ticket.request, workspace, body)
-    return Exchange(parts, ticket, body, responder, identity)
+    workspace = admitted.workspace.name if admitted.workspace else ''
+    identity = RequestIdentity(admitted.request, workspace, body)
+    return Exchange(parts, admitted, body, responder, identity)
--- a/src/dykemast/_internal/serving/relay/pauses.py
+++ b/src/dykemast/_internal/serving/relay/pauses.py
@@ -3,7 +3,7 @@
 from dykemast._internal.serving.parts import Parts
 from dykemast._internal.serving.relay.crash_recording import record_healthy_run
 from dykemast._internal.serving.relay.sends import Send
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
 
@@ -14,20 +14,20 @@
     """Measures the pauses of one stream at one engine.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param send: its send to the engine that answers it.
     """
 
     def __init__(
         self,
         parts: Parts,
-        ticket: Ticket,
+        admitted: AdmittedRequest,
         send: Send,
     ) -> None:
         """Wait for the first event."""
         self._board = parts.board
         self._pauses = parts.loads.pauses
-        self._ticket = ticket
+        self._admitted = admitted
         self._send = send
         self._engine = send.server.name
         self._last = float()
@@ -52,10 +52,10 @@
         began = self._send.event_at or read_clock()
         _log(
             'stream_ended',
-            request=self._ticket.request.request_id,
+            request=self._admitted.request.request_id,
             server=self._engine,
             events=events,
-            first_s=round(began - self._ticket.started, 3),
+            first_s=round(began - self._admitted.started, 3),
             longest_pause_s=round(self._longest, 3),
         )
 
@@ -63,12 +63,12 @@
         # From here on its caller has received tokens.
         _log(
             'first_event',
-            request=self._ticket.request.request_id,
+            request=self._admitted.request.request_id,
             server=self._engine,
-            took_s=round(now - self._ticket.started, 3),
+            took_s=round(now - self._admitted.started, 3),
         )
 
     def _note_pause(self, pause: float, now: float) -> None:
         self._longest = max(self._longest, pause)
-        objective = self._ticket.route.pause_objective
+        objective = self._admitted.route.pause_objective
         self._pauses.record(self._engine, pause, objective, now)
--- a/src/dykemast/_internal/serving/relay/payments.py
+++ b/src/dykemast/_internal/serving/relay/payments.py
@@ -6,7 +6,7 @@
     RefusalCode,
     RefusedError,
 )
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.serving.tokens.holds import Hold
 from dykemast._internal.utils.events import make_logger
 
@@ -17,19 +17,19 @@
     """What one request holds of its workspace's budget, if that has one.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     """
 
-    def __init__(self, parts: Parts, ticket: Ticket) -> None:
+    def __init__(self, parts: Parts, admitted: AdmittedRequest) -> None:
         """Hold nothing yet."""
         self._parts = parts
-        self._ticket = ticket
+        self._admitted = admitted
         self._holds: list[Hold] = []
-        request = ticket.request
+        request = admitted.request
         self.usage = StreamUsage(
             request.prompt_tokens,
             request.output_tokens,
-            ticket.service.get_tokens_per_event(),
+            admitted.service.get_tokens_per_event(),
         )
 
     async def hold(self) -> None:
@@ -37,14 +37,14 @@
 
         :raises RefusedError: when there are not as many tokens.
         """
-        workspace = self._ticket.workspace
+        workspace = self._admitted.workspace
         if workspace is None or workspace.prepaid is None:
             return
         held = sum(one.tokens for one in self._holds)
         missing = self.usage.count_max_tokens() - held
         if missing <= 0:
             return
-        priority = self._ticket.route.priority
+        priority = self._admitted.route.priority
         more = await self._parts.budgets.hold(workspace, missing, priority)
         self._holds.append(more)
         self._parts.metrics.tokens.add({'state': 'held'}, missing)
@@ -77,7 +77,7 @@
         # What a row in the store does not know yet when its router dies.
         _log(
             'settled',
-            request=self._ticket.request.request_id,
+            request=self._admitted.request.request_id,
             workspace=self._holds[0].workspace,
             held=sum(one.tokens for one in self._holds),
             consumed=used,
--- a/src/dykemast/_internal/serving/relay/plain_calls.py
+++ b/src/dykemast/_internal/serving/relay/plain_calls.py
@@ -28,15 +28,15 @@
     :param exchange: the request.
     :raises RefusedError: when it is not served.
     """
-    ticket = exchange.ticket
+    admitted = exchange.admitted
     attempts = Attempts(exchange)
 
     async def deliver(send: Send) -> None:
         whole = await _fetch(exchange, send.server)
         status = whole.head.status
-        may_repeat = len(attempts.tried) < ticket.route.max_workers
+        may_repeat = len(attempts.tried) < admitted.route.max_workers
         if status >= FIRST_SERVER_ERROR and may_repeat:
-            if ticket.is_repeatable():
+            if admitted.is_repeatable():
                 raise UpstreamError(f'status {status}', sent=True)
         headers = whole.head.headers
         await exchange.responder.answer(status, headers, whole.body)
@@ -45,11 +45,11 @@
 
 
 async def _fetch(exchange: Exchange, server: BackendServer) -> _Whole:
-    sending = make_upstream_request(exchange.ticket, exchange.body, server)
+    sending = make_upstream_request(exchange.admitted, exchange.body, server)
     loads = exchange.parts.loads.own
     with contextlib.ExitStack() as ending:
         loads.begin(server.name, 0)
         ending.callback(loads.end, server.name)
         async with exchange.parts.upstreams.send(sending) as answer:
-            whole = await answer.read_whole(exchange.ticket.deadline)
+            whole = await answer.read_whole(exchange.admitted.deadline)
             return _Whole(answer.head, whole)
--- a/src/dykemast/_internal/serving/relay/prefill.py
+++ b/src/dykemast/_internal/serving/relay/prefill.py
@@ -2,15 +2,17 @@
 
 from dykemast._internal.models.backend import BackendServer
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.utils.clock import read_clock
 
 
-def record_prompt(parts: Parts, ticket: Ticket, server: BackendServer) -> None:
-    engine = ticket.service.engine
+def record_prompt(
+    parts: Parts, admitted: AdmittedRequest, server: BackendServer
+) -> None:
+    engine = admitted.service.engine
     parts.loads.caches.record_sent(
         server.name,
-        ticket.request.prompt,
+        admitted.request.prompt,
         engine.cache_tokens if engine else 0,
         read_clock(),
     )
--- a/src/dykemast/_internal/serving/relay/retries.py
+++ b/src/dykemast/_internal/serving/relay/retries.py
@@ -5,12 +5,12 @@
 from typing import Final
 
 from dykemast._internal.exceptions import UpstreamError
-from dykemast._internal.serving.admission.gates import SERVER_RETRY
+from dykemast._internal.serving.admission.checks import NO_SERVER_RETRY_S
 from dykemast._internal.serving.admission.trials import is_on_trial
 from dykemast._internal.serving.choice.candidates import compute_min_wait
 from dykemast._internal.serving.choice.outcomes import get_retry_budget
 from dykemast._internal.serving.relay.exchange import Exchange
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds that have to be left for another try to make sense.
@@ -40,13 +40,13 @@
     return _spend_allowance(exchange)
 
 
-def has_time(ticket: Ticket) -> bool:
+def has_time(admitted: AdmittedRequest) -> bool:
     """Tell whether another try makes sense.
 
-    :param ticket: the request.
+    :param admitted: the request.
     :returns: whether it does.
     """
-    return ticket.deadline - read_clock() >= MIN_TIME_LEFT_S
+    return admitted.deadline - read_clock() >= MIN_TIME_LEFT_S
 
 
 def compute_retry_after(exchange: Exchange) -> float:
@@ -55,9 +55,9 @@
     :param exchange: the request.
     :returns: seconds until a server may get it, where all are held back.
     """
-    wait = compute_min_wait(exchange.parts, exchange.ticket)
+    wait = compute_min_wait(exchange.parts, exchange.admitted)
     if not wait or math.isinf(wait):
-        return SERVER_RETRY
+        return NO_SERVER_RETRY_S
     # All who wait for that moment would else come back together.
     return max(wait, MIN_RETRY_AFTER_S) * random.uniform(
         1, MAX_RETRY_AFTER_FACTOR
@@ -65,24 +65,26 @@
 
 
 def _is_allowed(exchange: Exchange, sends: int, error: UpstreamError) -> bool:
-    ticket = exchange.ticket
-    if error.sent and not ticket.is_repeatable():
+    admitted = exchange.admitted
+    if error.sent and not admitted.is_repeatable():
         return False
     if error.broken and is_on_trial(exchange.parts.board, exchange.identity):
         # One more server may end under it: its caller has to ask anew.
         return False
-    return has_time(ticket) and _has_sends_left(ticket, sends, error)
+    return has_time(admitted) and _has_sends_left(admitted, sends, error)
 
 
-def _has_sends_left(ticket: Ticket, sends: int, error: UpstreamError) -> bool:
+def _has_sends_left(
+    admitted: AdmittedRequest, sends: int, error: UpstreamError
+) -> bool:
     if error.unconnected or error.absent:
         # The server that was meant did not get it.
         return sends < MAX_SENDS
-    return sends < ticket.route.max_workers
+    return sends < admitted.route.max_workers
 
 
 def _spend_allowance(exchange: Exchange) -> bool:
     parts = exchange.parts
-    allowance = get_retry_budget(parts, exchange.ticket.service.name)
+    allowance = get_retry_budget(parts, exchange.admitted.service.name)
     routers = 1 + len(parts.board.peers)
     return allowance.consume(read_clock(), routers)
--- a/src/dykemast/_internal/serving/relay/send_outcomes.py
+++ b/src/dykemast/_internal/serving/relay/send_outcomes.py
@@ -1,6 +1,6 @@
 """Take note of what a send came to."""
 
-from dykemast._internal.exceptions import HeldBackError, UpstreamError
+from dykemast._internal.exceptions import BackpressureError, UpstreamError
 from dykemast._internal.serving.choice.outcomes import (
     record_absent,
     record_outcome,
@@ -35,7 +35,7 @@
     :param send: the send.
     :param error: how it failed.
     """
-    if not isinstance(error, HeldBackError):
+    if not isinstance(error, BackpressureError):
         # Not a failure of the server.
         record_outcome(exchange.parts, send.server, failed=True)
     record_broken_send(exchange.parts.board, send, error)
@@ -43,7 +43,7 @@
         record_absent(exchange.parts, send.server)
     _log(
         'send_failed',
-        request=exchange.ticket.request.request_id,
+        request=exchange.admitted.request.request_id,
         server=send.server.name,
         may_have_run=error.sent,
         reason=str(error),
--- a/src/dykemast/_internal/serving/relay/sends.py
+++ b/src/dykemast/_internal/serving/relay/sends.py
@@ -8,7 +8,7 @@
 from dykemast._internal.operations.request_identity import RequestIdentity
 from dykemast._internal.serving.choice.choices import count_uncached
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.serving.state.loads import compute_load
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
@@ -71,11 +71,13 @@
         }
 
 
-def log_send(parts: Parts, ticket: Ticket, send: Send, nth: int) -> None:
+def log_send(
+    parts: Parts, admitted: AdmittedRequest, send: Send, nth: int
+) -> None:
     """Log a send, and what made this server the one to choose.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     :param send: the send.
     :param nth: which of the request's sends it is.
     """
@@ -84,13 +86,13 @@
     pause_risk = parts.loads.pauses.estimate_risk(server, send.sent_at)
     _log(
         'send',
-        request=ticket.request.request_id,
-        service=ticket.service.name,
+        request=admitted.request.request_id,
+        service=admitted.service.name,
         server=server,
         nth=nth,
         running=load.running,
         unread=load.unread,
-        missing=count_uncached(parts, ticket, server),
+        missing=count_uncached(parts, admitted, server),
         pause_risk=round(pause_risk, 2),
         trust=round(parts.trust.get_score(server, send.sent_at), 2),
     )
--- a/src/dykemast/_internal/serving/relay/server_search.py
+++ b/src/dykemast/_internal/serving/relay/server_search.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from dykemast._internal.models.backend import BackendServer
-from dykemast._internal.serving.admission import gates, quarantine
+from dykemast._internal.serving.admission import checks, quarantine
 from dykemast._internal.serving.choice import candidates, choices
 from dykemast._internal.serving.relay.exchange import Exchange
 from dykemast._internal.serving.relay.retries import compute_retry_after
@@ -14,7 +14,7 @@
     RefusedError,
 )
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.utils.clock import read_clock
 
 #: Part of its objective that a request waits at most: served after it, it is
@@ -29,14 +29,14 @@
     """How long one request waits where each server is held back for a while.
 
     :param parts: parts of the program.
-    :param ticket: the request.
+    :param admitted: the request.
     """
 
-    def __init__(self, parts: Parts, ticket: Ticket) -> None:
+    def __init__(self, parts: Parts, admitted: AdmittedRequest) -> None:
         """Wait from now on."""
         self._parts = parts
-        self._ticket = ticket
-        self._until = read_clock() + MAX_WAIT_SHARE * ticket.route.objective
+        self._admitted = admitted
+        self._until = read_clock() + MAX_WAIT_SHARE * admitted.route.objective
 
     def measure(self, tried: Iterable[str]) -> float:
         """Measure when to look for a server again.
@@ -44,8 +44,8 @@
         :param tried: servers that had it before.
         :returns: seconds; 0 when waiting does not help.
         """
-        wait = candidates.compute_min_wait(self._parts, self._ticket, tried)
-        wait += PRIORITY_STEP_S * (1 + self._ticket.route.priority)
+        wait = candidates.compute_min_wait(self._parts, self._admitted, tried)
+        wait += PRIORITY_STEP_S * (1 + self._admitted.route.priority)
         return wait if read_clock() + wait <= self._until else 0
 
 
@@ -62,7 +62,7 @@
     :returns: a server that gets it now.
     :raises RefusedError: when there is none.
     """
-    server_wait = ServerWait(exchange.parts, exchange.ticket)
+    server_wait = ServerWait(exchange.parts, exchange.admitted)
     while True:
         server = _look(exchange, tried)
         if server:
@@ -75,15 +75,17 @@
 
 def _look(exchange: Exchange, tried: Sequence[str]) -> BackendServer | None:
     board = exchange.parts.board
-    gates.check_evacuations(board)
+    checks.check_evacuations(board)
     quarantine.check_quarantine(board, exchange.identity)
     apart = quarantine.find_suspect_digest(board, exchange.identity)
-    return choices.choose_server(exchange.parts, exchange.ticket, tried, apart)
+    return choices.choose_server(
+        exchange.parts, exchange.admitted, tried, apart
+    )
 
 
 def _refuse(exchange: Exchange, tried: Sequence[str]) -> RefusedError:
     parts = exchange.parts
-    halls = gates.describe_halls(parts.board, exchange.ticket)
+    halls = checks.describe_restrictions(parts.board, exchange.admitted)
     details = {'tried': tried, **halls}
     return_time = compute_retry_after(exchange)
     return RefusedError(RefusalCode.no_server, details, return_time)
--- a/src/dykemast/_internal/serving/relay/stream_requests.py
+++ b/src/dykemast/_internal/serving/relay/stream_requests.py
@@ -6,7 +6,7 @@
 from dykemast._internal.serving.relay.event_streams import EventStream
 from dykemast._internal.serving.relay.exchange import Exchange
 from dykemast._internal.serving.relay.payments import Payment
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 
 
 async def serve_stream(exchange: Exchange) -> None:
@@ -15,23 +15,23 @@
     :param exchange: the request.
     :raises RefusedError: when it is not served whole.
     """
-    parts, ticket = exchange.parts, exchange.ticket
-    payment = Payment(parts, ticket)
+    parts, admitted = exchange.parts, exchange.admitted
+    payment = Payment(parts, admitted)
     stream = EventStream(exchange, payment)
     await payment.hold()
     with contextlib.ExitStack() as ending:
-        ending.callback(_settle, parts, ticket, payment, stream)
+        ending.callback(_settle, parts, admitted, payment, stream)
         await stream.serve()
 
 
 def _settle(
     parts: Parts,
-    ticket: Ticket,
+    admitted: AdmittedRequest,
     payment: Payment,
     stream: EventStream,
 ) -> None:
     payment.settle()
     first_at = stream.relay.first_at
     if first_at:
-        took = first_at - ticket.started
+        took = first_at - admitted.started
         parts.metrics.first_byte.observe({'kind': 'stream'}, took)
--- a/src/dykemast/_internal/serving/requests/ticket.py
+++ b/src/dykemast/_internal/serving/requests/admitted_request.py
@@ -11,7 +11,7 @@
 from dykemast._internal.models.services import Service
 
 
-class Ticket(NamedTuple):
+class AdmittedRequest(NamedTuple):
     """A request that was let in.
 
     :param request: the request.
--- a/src/dykemast/_internal/serving/requests/responder.py
+++ b/src/dykemast/_internal/serving/requests/responder.py
@@ -17,7 +17,7 @@
 _CLOSE: Final = (b'connection', b'close')
 
 
-class AnswerCutError(DykemastError):
+class TruncatedResponseError(DykemastError):
     """An answer cannot be finished: the listener closes its connection."""
 
 
@@ -54,7 +54,7 @@
         :raises AnswerCutError: when an answer has begun.
         """
         if self.begun:
-            raise AnswerCutError(str(error)) from error
+            raise TruncatedResponseError(str(error)) from error
         headers, body = error.encode()
         await self.answer(error.code.value.status, headers, body)
 
--- a/src/dykemast/_internal/serving/sending/send_checks.py
+++ b/src/dykemast/_internal/serving/sending/send_checks.py
@@ -2,7 +2,7 @@
 
 import math
 
-from dykemast._internal.exceptions import HeldBackError
+from dykemast._internal.exceptions import BackpressureError
 from dykemast._internal.models.backend import BackendServer
 from dykemast._internal.operations.server_limits import KnownLimit
 from dykemast._internal.operations.shared_rate_limiter import SharedRateLimiter
@@ -62,12 +62,12 @@
     if name in board.leaving or board.backpressure.delisted.find(
         sending.server.server_id
     ):
-        raise HeldBackError('it leaves')
+        raise BackpressureError('it leaves')
     if board.backpressure.get_backoff(name, read_clock()):
-        raise HeldBackError('it rests')
+        raise BackpressureError('it rests')
     limit = board.backpressure.limits.find(name)
     if limit and limit.since > sending.made_at:
-        raise HeldBackError('it has named a limit')
+        raise BackpressureError('it has named a limit')
 
 
 def _find_rate(
--- a/src/dykemast/_internal/serving/sending/upstream_request.py
+++ b/src/dykemast/_internal/serving/sending/upstream_request.py
@@ -7,7 +7,7 @@
 from dykemast._internal.models.caller_request import CallerRequest
 from dykemast._internal.models.forwarding import ForwardingFields
 from dykemast._internal.operations.priorities import choose_priority
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.utils.clock import read_clock
 
 
@@ -36,7 +36,7 @@
         :param event: its id; empty for the whole stream.
         :returns: what to send.
         """
-        return self._replace(added=self.added._replace(after_event=event))
+        return self._replace(added=self.added._replace(last_event_id=event))
 
 
 #: Raises when a send must not go out after all.
@@ -44,28 +44,28 @@
 
 
 def make_upstream_request(
-    ticket: Ticket,
+    admitted: AdmittedRequest,
     body: bytes,
     server: BackendServer,
 ) -> UpstreamRequest:
     """Make what is sent of a request.
 
-    :param ticket: the request.
+    :param admitted: the request.
     :param body: its body.
     :param server: the server that gets it.
     :returns: what to send.
     """
-    workspace = ticket.workspace
+    workspace = admitted.workspace
     now = read_clock()
     priority = None
-    if ticket.service.engine:
-        priority = choose_priority(workspace, ticket.route)
+    if admitted.service.engine:
+        priority = choose_priority(workspace, admitted.route)
     added = ForwardingFields(
         server=server.server_id,
         workspace=workspace.name if workspace else '',
-        time_left_s=ticket.deadline - now,
+        time_left_s=admitted.deadline - now,
         priority=priority,
     )
     return UpstreamRequest(
-        server, ticket.request, body, added, ticket.deadline, now
+        server, admitted.request, body, added, admitted.deadline, now
     )
--- a/src/dykemast/_internal/serving/state/board.py
+++ b/src/dykemast/_internal/serving/state/board.py
@@ -15,7 +15,7 @@
     crash_table,
     demand,
     loop_health,
-    loop_watch,
+    event_loop_monitor,
     planned_stop,
     route_times,
     backpressure_state,
@@ -156,8 +156,10 @@
         default_factory=route_times.RouteTimes
     )
     tasks: set[asyncio.Task[None]] = dataclasses.field(default_factory=set)
-    watch: loop_watch.LoopWatch = dataclasses.field(
-        default_factory=lambda: loop_watch.LoopWatch(read_clock())
+    watch: event_loop_monitor.EventLoopMonitor = dataclasses.field(
+        default_factory=lambda: event_loop_monitor.EventLoopMonitor(
+            read_clock()
+        )
     )
     loops: loop_health.LoopHealth = dataclasses.field(
         default_factory=loop_health.LoopHealth
--- a/src/dykemast/_internal/serving/state/quarantines.py
+++ b/src/dykemast/_internal/serving/state/quarantines.py
@@ -60,7 +60,7 @@
     :param board: the blackboard.
     :returns: whether it has.
     """
-    return board.crashes.is_complete(board.watch.find_wake(read_clock()))
+    return board.crashes.is_complete(board.watch.find_last_resume(read_clock()))
 
 
 def record_crash_answer(
--- a/src/dykemast/_internal/serving/tokens/ledger_objects.py
+++ b/src/dykemast/_internal/serving/tokens/ledger_objects.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from dykemast._internal.exceptions import BudgetNotUsableError
+from dykemast._internal.exceptions import InvalidBudgetError
 from dykemast._internal.models.budget_ledger import BudgetLedger
 from dykemast._internal.platform.store_types import StoreObject
 
@@ -34,7 +34,7 @@
     try:
         ledger = msgspec.convert(stored.spec, BudgetLedger)
     except msgspec.ValidationError as error:
-        raise BudgetNotUsableError(f'the budget: {error}') from error
+        raise InvalidBudgetError(f'the budget: {error}') from error
     if not ledger.has_valid_counts():
-        raise BudgetNotUsableError('the budget has counts below 0.')
+        raise InvalidBudgetError('the budget has counts below 0.')
     return ledger
--- a/src/dykemast/_internal/serving/tokens/ledger_writer.py
+++ b/src/dykemast/_internal/serving/tokens/ledger_writer.py
@@ -3,7 +3,7 @@
 from typing import Any, Final
 
 from dykemast._internal.exceptions import (
-    BudgetNotUsableError,
+    InvalidBudgetError,
     ContendedError,
     PlatformError,
     VersionConflictError,
@@ -78,7 +78,7 @@
             # Seven routers that start at once meet each other in ten budgets;
             # to take that for an outage refused callers of all of these.
             self._note_failure(account, 'budget_contended', error)
-        except BudgetNotUsableError as error:
+        except InvalidBudgetError as error:
             # No other budget waits for it.
             self._note_failure(account, 'budget_not_usable', error)
         except PlatformError as error:
--- a/src/dykemast/_internal/serving/tokens/upkeep.py
+++ b/src/dykemast/_internal/serving/tokens/upkeep.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from dykemast._internal.exceptions import (
-    BudgetNotUsableError,
+    InvalidBudgetError,
     PlatformError,
 )
 from dykemast._internal.platform.objects import ObjectStore
@@ -60,5 +60,5 @@
     for stored in listing.found:
         try:
             upkeep.budgets.get_account(stored.name).see(stored)
-        except BudgetNotUsableError as error:
+        except InvalidBudgetError as error:
             _log('budget_not_usable', workspace=stored.name, reason=str(error))
--- a/src/dykemast/_internal/utils/hop_fields.py
+++ b/src/dykemast/_internal/utils/hop_by_hop_headers.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 #: No program passes them on; RFC 9110 and what HTTP clients send besides.
-HOP_FIELDS: Final = frozenset(
+HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         'connection',
         'content-length',
--- a/src/dykemast/_internal/utils/keys.py
+++ b/src/dykemast/_internal/utils/keys.py
@@ -16,7 +16,7 @@
     return hashlib.sha256(key.encode('utf-8', 'replace')).hexdigest()
 
 
-def is_same(digest: str, known: str) -> bool:
+def digests_match(digest: str, known: str) -> bool:
     """Compare two digests in constant time.
 
     :param digest: of the key that was sent.
--- a/src/dykemast/_internal/utils/packing.py
+++ b/src/dykemast/_internal/utils/packing.py
@@ -8,19 +8,19 @@
 
 import msgspec
 
-from dykemast._internal.exceptions import NotUsableError
+from dykemast._internal.exceptions import InvalidDataError
 
 Packed = TypeVar('Packed')
 
 #: Two thirds of the time of the usual level, for 8 % more bytes of news.
-FAST: Final = zlib.Z_BEST_SPEED
+FAST_COMPRESSION: Final = zlib.Z_BEST_SPEED
 
 
 def pack(packed: Any, level: int = zlib.Z_DEFAULT_COMPRESSION) -> bytes:
     """Write down a value.
 
     :param packed: a value of typed data.
-    :param level: of compression; ``FAST`` for what is written often.
+    :param level: of compression; ``FAST_COMPRESSION`` for what is written often.
     :returns: compressed MessagePack.
     """
     return zlib.compress(msgspec.msgpack.encode(packed), level)
@@ -37,4 +37,4 @@
     try:
         return msgspec.msgpack.decode(zlib.decompress(body), type=kind)
     except (zlib.error, msgspec.MsgspecError) as error:
-        raise NotUsableError(f'{type(error).__name__}: {error}') from error
+        raise InvalidDataError(f'{type(error).__name__}: {error}') from error
--- a/src/dykemast/_internal/utils/pace.py
+++ b/src/dykemast/_internal/utils/rate_limiter.py
@@ -9,7 +9,7 @@
 BURST: Final = 4
 
 
-class Pace:
+class RateLimiter:
     """Pace of one kind of work.
 
     :param pause: seconds between two times, in the long run.
@@ -20,7 +20,7 @@
         self._pause = pause
         self._due = -math.inf
 
-    def note_write(self) -> float:
+    def record_write(self) -> float:
         """Note that it was done.
 
         :returns: seconds to wait before it may be done again.
--- a/src/dykemast/_internal/utils/supervision.py
+++ b/src/dykemast/_internal/utils/supervision.py
@@ -18,7 +18,7 @@
 SHOWN_CALLS: Final = 4
 
 
-class Loop(NamedTuple):
+class BackgroundLoop(NamedTuple):
     """Work that never ends.
 
     :param name: what it does, for logs.
@@ -29,7 +29,7 @@
     run: Callable[[], Coroutine[Any, Any, Any]]
 
 
-class LoopEnd(NamedTuple):
+class LoopFailure(NamedTuple):
     """How a loop ended that should not.
 
     :param loop: its name.
@@ -44,11 +44,11 @@
     pause: float
 
 
-Tell = Callable[[LoopEnd], None]
+Tell = Callable[[LoopFailure], None]
 
 
 def start_loops(
-    loops: Iterable[Loop],
+    loops: Iterable[BackgroundLoop],
     health: LoopHealth,
     tell: Tell,
 ) -> list[asyncio.Task[None]]:
@@ -64,11 +64,13 @@
     ]
 
 
-async def _supervise(loop: Loop, health: LoopHealth, tell: Tell) -> None:
+async def _supervise(
+    loop: BackgroundLoop, health: LoopHealth, tell: Tell
+) -> None:
     while True:
         reason, calls = await _run_to_end(loop)
         pause = health.note_failure(loop.name, read_clock())
-        tell(LoopEnd(loop.name, reason, calls, pause))
+        tell(LoopFailure(loop.name, reason, calls, pause))
         await asyncio.sleep(pause)
 
 
@@ -82,7 +84,7 @@
     return [f'{one.name}:{one.lineno}' for one in inner]
 
 
-async def _run_to_end(loop: Loop) -> tuple[str, list[str]]:
+async def _run_to_end(loop: BackgroundLoop) -> tuple[str, list[str]]:
     """Run a loop until it fails.
 
     :returns: why it ended, and in which calls.
--- a/tests/lib/fake_platform.py
+++ b/tests/lib/fake_platform.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from dykemast._internal.exceptions import (
-    PlatformAwayError,
+    PlatformUnavailableError,
     VersionConflictError,
 )
 from dykemast._internal.network.platform import Listed, Stored
@@ -50,13 +50,13 @@
     async def write(self, name: str, body: bytes, version: int) -> int:
         fault = self.faults.popleft() if self.faults else ''
         if fault == 'drop':
-            raise PlatformAwayError('dropped')
+            raise PlatformUnavailableError('dropped')
         if fault == 'late':
             self.late.append(Write(name, body, version))
-            raise PlatformAwayError('late')
+            raise PlatformUnavailableError('late')
         mark = self.apply(Write(name, body, version))
         if fault == 'lose':
-            raise PlatformAwayError('lost')
+            raise PlatformUnavailableError('lost')
         return mark
 
     async def delete(self, name: str, version: int) -> None:
--- a/tests/lib/identities.py
+++ b/tests/lib/identities.py
@@ -10,12 +10,12 @@
     path='/a',
     target='/a?b=c',
     key='key',
-    patience=None,
+    timeout_s=None,
     headers=(),
     prompt_tokens=0,
     output_tokens=0,
     prompt=(),
-    after_event='',
+    last_event_id='',
 )
 
 
--- a/tests/unit/test_choice_cost.py
+++ b/tests/unit/test_choice_cost.py
@@ -13,7 +13,7 @@
 from dykemast._internal.serving.choice.choices import choose_server
 from dykemast._internal.serving.knowledge.backends import add_server
 from dykemast._internal.serving.parts import make_parts
-from dykemast._internal.serving.requests.ticket import Ticket
+from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.serving.state.loads import make_loads
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_board, make_endpoint
@@ -38,7 +38,7 @@
         return super().estimate_risk(engine, now)
 
 
-def make_ticket(tokens: int) -> Ticket:
+def make_ticket(tokens: int) -> AdmittedRequest:
     scope = {
         'method': 'POST',
         'path': '/',
@@ -52,7 +52,9 @@
         ],
     }
     now = read_clock()
-    return Ticket(decode_request(scope), ROUTE, SERVICE, None, now, now + 15, 1)
+    return AdmittedRequest(
+        decode_request(scope), ROUTE, SERVICE, None, now, now + 15, 1
+    )
 
 
 def make_engine(number: int) -> BackendServer:
--- a/tests/unit/test_crash_news.py
+++ b/tests/unit/test_crash_news.py
@@ -31,7 +31,7 @@
     CRASH_RETENTION_S,
     CrashTable,
 )
-from dykemast._internal.utils.packing import FAST, pack
+from dykemast._internal.utils.packing import FAST_COMPRESSION, pack
 
 #: Seconds that news are under way.
 TRANSIT = 0.01
@@ -109,7 +109,7 @@
         record_crash(table, crash, 100)
     review_suspects(table, 100)
     message = crash_gossip.build_crash_gossip(table, 100)
-    assert len(pack(message, FAST)) < MAX_BYTES
+    assert len(pack(message, FAST_COMPRESSION)) < MAX_BYTES
     assert len(table.crashes) <= 256
 
 
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -11,7 +11,7 @@
     STALE,
 )
 from dykemast._internal.models.requests import STATUSES
-from dykemast._internal.models.settings import DEFAULTS, RouterSettings
+from dykemast._internal.models.settings import DEFAULT_SETTINGS, RouterSettings
 from tests.lib.cases import find_cases
 from tools.mutations import MUTATIONS
 
@@ -34,7 +34,7 @@
     page = (DOCS / 'operators.md').read_text()
     names = [f'| `{name}` |' for name in RouterSettings.__annotations__]
     assert [name for name in names if name not in page] == []
-    shown = [f'| {default} |' for default in DEFAULTS.values()]
+    shown = [f'| {default} |' for default in DEFAULT_SETTINGS.values()]
     assert [default for default in shown if default not in page] == []
 
 
--- a/tests/unit/test_foreign_rows.py
+++ b/tests/unit/test_foreign_rows.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from dykemast._internal.exceptions import BudgetNotUsableError
+from dykemast._internal.exceptions import InvalidBudgetError
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.members import members
 from dykemast._internal.serving.tokens.ledger_objects import decode_ledger
@@ -42,7 +42,7 @@
 def is_usable(stored: StoreObject) -> bool:
     try:
         return bool(decode_ledger(stored))
-    except BudgetNotUsableError:
+    except InvalidBudgetError:
         return False
 
 
--- a/tests/unit/test_halls.py
+++ b/tests/unit/test_halls.py
@@ -9,7 +9,7 @@
     Listing,
     StoreObject,
 )
-from dykemast._internal.serving.admission.gates import check_evacuations
+from dykemast._internal.serving.admission.checks import check_evacuations
 from dykemast._internal.serving.knowledge import (
     backends,
     evacuations,
--- a/tests/unit/test_loop_watch.py
+++ b/tests/unit/test_loop_watch.py
@@ -1,10 +1,10 @@
 """How late an event loop is."""
 
-from dykemast._internal.operations.loop_watch import (
+from dykemast._internal.operations.event_loop_monitor import (
     MAX_OVERRUN,
     SMOOTHING,
     WATCH_PAUSE,
-    LoopWatch,
+    EventLoopMonitor,
 )
 
 BEGAN = 100.0
@@ -13,7 +13,9 @@
 MUCH = 0.25
 
 
-def run_late(watch: LoopWatch, began: float, late: float, notes: int) -> float:
+def run_late(
+    watch: EventLoopMonitor, began: float, late: float, notes: int
+) -> float:
     """Note a loop that is late each time; return when it was last noted."""
     now = began
     for _ in range(notes):
@@ -23,13 +25,13 @@
 
 
 def test_a_loop_in_time_is_not_late() -> None:
-    watch = LoopWatch(BEGAN)
+    watch = EventLoopMonitor(BEGAN)
     now = run_late(watch, BEGAN, 0, 50)
     assert watch.measure_lateness(now) < NOTHING
 
 
 def test_a_loop_that_is_late_each_time_is_known_within_two_seconds() -> None:
-    watch = LoopWatch(BEGAN)
+    watch = EventLoopMonitor(BEGAN)
     now = run_late(watch, BEGAN, 0.4, 4)
     assert MUCH < watch.measure_lateness(now)
     assert watch.is_overloaded(now)
@@ -37,7 +39,7 @@
 
 
 def test_a_loop_that_stands_still_is_late_before_it_is_noted() -> None:
-    watch = LoopWatch(BEGAN)
+    watch = EventLoopMonitor(BEGAN)
     assert watch.measure_lateness(BEGAN + WATCH_PAUSE + 1) > LITTLE
     now = run_late(watch, BEGAN, 1, 1)
     assert watch.is_overloaded(now + WATCH_PAUSE + 1)
@@ -45,7 +47,7 @@
 
 def test_one_long_pause_is_forgotten_after_some_notes() -> None:
     # A process that was paused for long still has all of its processor.
-    watch = LoopWatch(BEGAN)
+    watch = EventLoopMonitor(BEGAN)
     now = run_late(watch, BEGAN, 30, 1)
     assert watch.measure_lateness(now) <= SMOOTHING * MAX_OVERRUN
     assert not watch.is_overloaded(now)
--- a/tests/unit/test_members.py
+++ b/tests/unit/test_members.py
@@ -5,7 +5,7 @@
 
 from dykemast._internal.exceptions import (
     MissingObjectError,
-    PlatformAwayError,
+    PlatformUnavailableError,
     VersionConflictError,
 )
 from dykemast._internal.platform.store_types import Listing, StoreObject
@@ -32,7 +32,7 @@
         creates = not entry.revision
         self.calls.append('create' if creates else 'replace')
         if self.is_away:
-            raise PlatformAwayError('no answer')
+            raise PlatformUnavailableError('no answer')
         if entry.name in self.entries and creates:
             raise VersionConflictError('it is there')
         if entry.name not in self.entries and not creates:
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -11,7 +11,10 @@
 
 from typing import NamedTuple
 
-from dykemast._internal.operations.loop_watch import WATCH_PAUSE, LoopWatch
+from dykemast._internal.operations.event_loop_monitor import (
+    WATCH_PAUSE,
+    EventLoopMonitor,
+)
 
 #: Seconds of processor that a served request takes, and in how many steps: a
 #: short stream at a late loop, where several events are read in each turn.
@@ -45,7 +48,7 @@
         self.counts = {'served': 0, 'told': 0, 'left': 0}
         self.lateness = float()
         self._gated = gated
-        self._watch = LoopWatch(0)
+        self._watch = EventLoopMonitor(0)
         self._noted = float()
         #: Moment of arrival and steps that are left, of those let in.
         self._running: list[tuple[float, int]] = []
--- a/tests/unit/test_overload_gate.py
+++ b/tests/unit/test_overload_gate.py
@@ -1,9 +1,9 @@
 """A router without processor time refuses at once, and says so to others."""
 
 from dykemast._internal.models.gossip import RouterLoad
-from dykemast._internal.operations.loop_watch import WATCH_PAUSE
+from dykemast._internal.operations.event_loop_monitor import WATCH_PAUSE
 from dykemast._internal.platform.store_types import StoreObject
-from dykemast._internal.serving.admission import gates, lookups
+from dykemast._internal.serving.admission import checks, lookups
 from dykemast._internal.serving.knowledge.configuration import (
     apply_configuration,
 )
@@ -41,7 +41,7 @@
 
 def refuse(board: ServingBoard) -> RefusedError | None:
     try:
-        gates.check_gates(board)
+        checks.check_preconditions(board)
     except RefusedError as error:
         return error
     return None
@@ -59,7 +59,7 @@
     assert error
     assert error.code == RefusalCode.overloaded
     assert error.code.value.status == 503
-    assert error.retry_after == gates.ELSEWHERE_RETRY
+    assert error.retry_after == checks.ELSEWHERE_RETRY
     assert should_close_connections(board)
     assert measure_router_load(board).exceeds_capacity()
 
@@ -80,4 +80,4 @@
 def test_callers_wait_a_little_when_all_routers_get_too_much() -> None:
     error = refuse(make_board(BUSY, LATE))
     assert error
-    assert error.retry_after == gates.CROWDED_RETRY
+    assert error.retry_after == checks.CROWDED_RETRY
--- a/tests/unit/test_planned_stop.py
+++ b/tests/unit/test_planned_stop.py
@@ -4,7 +4,10 @@
 from hypothesis import strategies as st
 
 from dykemast._internal.operations import planned_stop
-from dykemast._internal.operations.loop_watch import STALL_TIME, LoopWatch
+from dykemast._internal.operations.event_loop_monitor import (
+    STALL_TIME,
+    EventLoopMonitor,
+)
 from dykemast._internal.operations.route_times import SPAN_S, RouteTimes
 from dykemast._internal.serving.admission.in_progress import STOPPING_RETRY
 from dykemast._internal.serving.requests.refusals import (
@@ -57,9 +60,9 @@
 ) -> None:
     now = BEGAN + late
     plan = planned_stop.plan_stop(now, BEGAN, ttl, timeout)
-    assert max(plan.named_until, plan.stay_until) <= plan.ends_by
+    assert max(plan.advertised_until, plan.linger_until) <= plan.ends_by
     assert now <= plan.give_back_at <= max(now, plan.ends_by)
-    assert plan.ends_by <= plan.cut_at
+    assert plan.ends_by <= plan.cancel_at
     assert plan.ends_by <= BEGAN + max(0, timeout - planned_stop.END_TIME)
 
 
@@ -72,13 +75,13 @@
         planned_stop.CLOSE_TIME,
         planned_stop.EXIT_TIME,
     )
-    assert make_plan().cut_at + sum(parts) <= KILLED
+    assert make_plan().cancel_at + sum(parts) <= KILLED
 
 
 def test_a_stop_that_is_seen_late_admits_by_when_it_was_ordered() -> None:
     # A router that was paused when SIGTERM came counted from when it woke,
     # and let in calls that were in progress when it was killed.
-    watch = LoopWatch(BEGAN)
+    watch = EventLoopMonitor(BEGAN)
     assert watch.find_earliest(BEGAN + 0.1) == BEGAN
     woke = BEGAN + 1.5
     assert watch.find_earliest(woke) == BEGAN
@@ -89,7 +92,7 @@
     plan = make_plan(late=1.5)
     assert not plan.may_admit(KILLED - 1, KILLED - 0.1, usual=0)
     # What was let in before may still end.
-    assert plan.cut_at > KILLED
+    assert plan.cancel_at > KILLED
 
 
 def test_the_longest_time_of_a_route_counts_for_two_spans() -> None:
--- a/tests/unit/test_platform_words.py
+++ b/tests/unit/test_platform_words.py
@@ -82,7 +82,7 @@
         )
     )
     assert request.target == '/order/a%20b?x=%2f'
-    assert round(request.patience * 1000) == 1500
+    assert round(request.timeout_s * 1000) == 1500
     assert (request.prompt_tokens, request.output_tokens) == (1460, 80)
     assert [part.tokens for part in request.prompt] == [800, 410]
     added = ForwardingFields('i-1', 'joinville', 1.2, 4, '15')
--- a/tests/unit/test_policies.py
+++ b/tests/unit/test_policies.py
@@ -7,8 +7,11 @@
     PolicyError,
     compile_expression,
 )
-from dykemast._internal.operations.policies import decide
-from dykemast._internal.operations.policy_check import make_sample, try_policy
+from dykemast._internal.operations.policies import evaluate_policy
+from dykemast._internal.operations.policy_check import (
+    make_sample_view,
+    try_policy,
+)
 
 MODEL = ModelSpec(name='tiny-1', service='llm', max_tokens=9)
 CONFIGURATION = Configuration(
@@ -17,7 +20,7 @@
 LEFT = ''.join('(' for _ in range(900))
 RIGHT = LEFT.replace('(', ')')
 ONES = ','.join('1' for _ in range(900))
-VIEW = make_sample(CONFIGURATION)
+VIEW = make_sample_view(CONFIGURATION)
 
 
 def find_error(field: str, text: str) -> str:
@@ -34,7 +37,7 @@
         'budgets': "['main', 'reserve']",
         'priority': 'request.stream ? 9 : 1',
     }
-    decision = decide(policy, VIEW, 'big')
+    decision = evaluate_policy(policy, VIEW, 'big')
     assert decision.allow
     assert decision.models == ('tiny-1',)
     assert decision.budgets == ('main', 'reserve')
@@ -42,7 +45,7 @@
 
 
 def test_silent_policy_allows_what_is_asked() -> None:
-    decision = decide({'name': 'p'}, VIEW, 'big')
+    decision = evaluate_policy({'name': 'p'}, VIEW, 'big')
     assert decision == (True, ('big',), ('main',), 5)
 
 
--- a/tests/unit/test_quarantine_gate.py
+++ b/tests/unit/test_quarantine_gate.py
@@ -60,7 +60,7 @@
 
 
 def test_the_same_request_is_known_by_what_a_server_runs() -> None:
-    same = make_identity(request_id='other', key='second', patience='1')
+    same = make_identity(request_id='other', key='second', timeout_s='1')
     assert same.compute_digest() == make_identity().compute_digest()
     others = (
         make_identity(method='PUT'),
--- a/tests/unit/test_readiness.py
+++ b/tests/unit/test_readiness.py
@@ -4,7 +4,7 @@
 
 from dykemast._internal.platform.configuration import CONFIGURATION_KIND
 from dykemast._internal.platform.servers import SERVER_KIND
-from dykemast._internal.serving.admission.gates import check_gates
+from dykemast._internal.serving.admission.checks import check_preconditions
 from dykemast._internal.serving.process.entry import is_ready
 from dykemast._internal.serving.requests.refusals import RefusedError
 from dykemast._internal.serving.state.board import ServingBoard
@@ -14,7 +14,7 @@
 
 def lets_in(board: ServingBoard) -> bool:
     try:
-        check_gates(board)
+        check_preconditions(board)
     except RefusedError:
         return False
     return True
--- a/tests/unit/test_retention.py
+++ b/tests/unit/test_retention.py
@@ -3,7 +3,7 @@
 import msgspec
 from starlette.datastructures import Headers
 
-from dykemast._internal.exceptions import PlatformAwayError
+from dykemast._internal.exceptions import PlatformUnavailableError
 from dykemast._internal.models.journal import Entry, EntryKind, Segment
 from dykemast._internal.network.journal_totals import (
     TOTALS,
@@ -55,7 +55,7 @@
     platform.faults.append('lose')
     try:
         drive(drop_oldest(platform, SHARD, 1))
-    except PlatformAwayError:
+    except PlatformUnavailableError:
         assert drive(drop_oldest(platform, SHARD, 1))
     assert read_sums(platform) == {'b': Sum(2, 12)}
 
--- a/tests/unit/test_send_checks.py
+++ b/tests/unit/test_send_checks.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from dykemast._internal.exceptions import HeldBackError
+from dykemast._internal.exceptions import BackpressureError
 from dykemast._internal.models.backend import BackendServer, Backpressure
 from dykemast._internal.models.forwarding import ResponseHead
 from dykemast._internal.operations.shared_rate_limiter import SharedRateLimiter
@@ -64,7 +64,7 @@
     sending = UpstreamRequest(SERVER, None, b'', None, made_at + 1, made_at)
     try:
         check_send(board, sending)
-    except HeldBackError as error:
+    except BackpressureError as error:
         assert not error.sent
         return True
     return False
--- a/tests/unit/test_supervision.py
+++ b/tests/unit/test_supervision.py
@@ -16,7 +16,11 @@
 from dykemast._internal.serving.process.entry import is_ready
 from dykemast._internal.serving.process.loops import list_loops
 from dykemast._internal.utils.clock import read_clock
-from dykemast._internal.utils.supervision import Loop, LoopEnd, start_loops
+from dykemast._internal.utils.supervision import (
+    BackgroundLoop,
+    LoopFailure,
+    start_loops,
+)
 from tests.lib.serving_boards import make_board
 
 
@@ -31,12 +35,12 @@
             await asyncio.sleep(60)
 
     async def watch() -> None:
-        tasks = start_loops([Loop('read', fail)], health, told.append)
+        tasks = start_loops([BackgroundLoop('read', fail)], health, told.append)
         await asyncio.wait(tasks, timeout=2)
         tasks[0].cancel()
 
     health = LoopHealth()
-    told: list[LoopEnd] = []
+    told: list[LoopFailure] = []
     asyncio.run(watch())
     assert runs == [0, 1, 2]
     assert health.failures == 2, 'one that returns has ended as well'
@@ -49,7 +53,7 @@
 
 def test_a_loop_that_is_cancelled_ends() -> None:
     async def stop() -> bool:
-        loop = Loop('wait', lambda: asyncio.sleep(60))
+        loop = BackgroundLoop('wait', lambda: asyncio.sleep(60))
         tasks = start_loops([loop], LoopHealth(), print)
         await asyncio.sleep(0)
         tasks[0].cancel()
--- a/tests/unit/test_upstreams.py
+++ b/tests/unit/test_upstreams.py
@@ -4,7 +4,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from dykemast._internal.exceptions import HeldBackError
+from dykemast._internal.exceptions import BackpressureError
 from dykemast._internal.models.backend import BackendServer
 from dykemast._internal.models.deployment import Endpoint
 from dykemast._internal.models.forwarding import ResponseHead, ForwardingFields
@@ -69,7 +69,7 @@
 
 async def test_a_send_that_is_held_back_writes_nothing() -> None:
     def hold_back(sending: UpstreamRequest) -> None:
-        raise HeldBackError('on purpose')
+        raise BackpressureError('on purpose')
 
     held = False
     async with listen() as (listener, sending):
@@ -77,7 +77,7 @@
         try:
             async with upstreams.send(sending):
                 raise AssertionError('it went out')
-        except HeldBackError as error:
+        except BackpressureError as error:
             held = not error.sent
         await upstreams.close()
         await asyncio.sleep(0.1)
