--- a/src/dykemast/_internal/models/budgets.py
+++ b/src/dykemast/_internal/models/budgets.py
@@ -56,7 +56,8 @@
     :param holder: see :class:`LeaseRow`.
     :param instance: see :class:`LeaseRow`.
     :param seq: grows by one with each new intent of a holder.
-    :param min_allotted: the holder insists on at least this allotment, if it has it.
+    :param min_allotted: lowest allotment that the holder accepts, as far as
+        its present allotment reaches.
     :param armed: level that it wants to arm.
     :param spent: net consumption until now.
     :param committed: ``spent`` and open holds together.
--- a/src/dykemast/_internal/operations/demand.py
+++ b/src/dykemast/_internal/operations/demand.py
@@ -51,13 +51,13 @@
         return self._decay(now) / self._window / part
 
     def compute_window_average(self, now: float) -> float:
-        """Measure the demand, with nothing assumed before the first request.
+        """Compute the demand, assuming none before the first request.
 
-        Added up over many routers that get single requests, ``compute_rate`` would
-        come to some times what there is.
+        The sum of ``compute_rate`` over many routers that get single
+        requests would be a multiple of the actual demand.
 
         :param now: seconds.
-        :returns: amount a second.
+                :returns: amount a second.
         """
         return self._decay(now) / self._window
 
