--- a/src/dykemast/_internal/models/forwarding.py
+++ b/src/dykemast/_internal/models/forwarding.py
@@ -28,7 +28,8 @@
     :param status: HTTP status.
     :param request_id: the request that it says it answers.
     :param signed: whether the server signed it.
-    :param not_executed: whether the server says that it did not run the request.
+    :param not_executed: whether the server states that it did not run the
+        request.
     :param misdirected: whether another server than the one that was meant
         answered.
     :param headers: fields to be passed on.
--- a/src/dykemast/_internal/operations/backpressure_state.py
+++ b/src/dykemast/_internal/operations/backpressure_state.py
@@ -64,7 +64,7 @@
 
     :param last: by the last answer here.
     :param limits: that they named, here or to other routers.
-    :param backoff_until: seconds until which they want nothing from this router.
+    :param backoff_until: end of the backoff that they asked this router for.
     :param delisted: those that were leaving and are not listed any more.
     """
 
--- a/src/dykemast/_internal/serving/sending/upstream_request.py
+++ b/src/dykemast/_internal/serving/sending/upstream_request.py
@@ -30,7 +30,7 @@
     deadline: float
     made_at: float
 
-    def resume_after(self, event: str) -> 'Sending':
+    def resume_after(self, event: str) -> 'UpstreamRequest':
         """Ask for a stream from after an event.
 
         :param event: its id; empty for the whole stream.
--- a/tests/unit/test_lapsed_leavers.py
+++ b/tests/unit/test_lapsed_leavers.py
@@ -36,7 +36,7 @@
     misdirected=False,
     headers=[],
     delimited=True,
-    asks=Backpressure(leaving=True),
+    backpressure=Backpressure(leaving=True),
 )
 
 
--- a/tools/hall_mutations.py
+++ b/tools/hall_mutations.py
@@ -36,7 +36,9 @@
         'let a shorter rest replace a longer one',
         'a server that asks for rest is left alone',
         f'{_INTERNAL}/operations/backpressure_state.py',
-        'max(until, self.backoff_until.get(server, until))',
+        'max(\n'
+        '            until, self.backoff_until.get(server, until)\n'
+        '        )',
         'until',
         'test_send_checks',
     ),
