--- a/src/dykemast/_internal/serving/knowledge/backends.py
+++ b/src/dykemast/_internal/serving/knowledge/backends.py
@@ -78,7 +78,8 @@
 
     :param board: the blackboard.
     :param service: the service.
-    :param allowed_regions: regions that the request stays in; each of them binds.
+    :param allowed_regions: regions that the request may be sent to; each
+        set applies.
     :returns: usable servers of halls that are not emptied and lie in them.
     """
     regions = board.settings.regions
--- a/src/dykemast/_internal/serving/members/gossip_messages.py
+++ b/src/dykemast/_internal/serving/members/gossip_messages.py
@@ -59,8 +59,9 @@
     def apply_message(self, body: bytes) -> GossipMessage | None:
         """Take a peer's news; those that make no sense are logged.
 
-        How old its knowledge is only counts in an answer (``record_peer_ages``): how
-        long ago news were written that came by themselves is not known.
+        The ages in it are used only where it answers a call
+        (``record_peer_ages``): how long ago an unrequested message was
+        written is not known.
 
         :param body: as it wrote them.
         :returns: the news; None when they are of no use.
--- a/src/dykemast/_internal/serving/state/board.py
+++ b/src/dykemast/_internal/serving/state/board.py
@@ -38,9 +38,10 @@
     """Another router as last heard of.
 
     :param card: what it tells about itself.
-    :param last_heard_at: seconds at which it last told something, to this router
-        or to one that passed it on; 0 for never.
-    :param last_exchange_at: seconds at which it last exchanged news with this router.
+    :param last_heard_at: seconds at which it last sent a message, to this
+        router or to one that relayed it; 0 for never.
+    :param last_exchange_at: seconds at which it last exchanged messages with
+        this router.
     :param router_load: how much comes to it, as it last told.
     :param budget_write_failed: whether it could not write budgets then.
     """
@@ -77,8 +78,9 @@
     :param server_objects: their entries as the store holds them, by id;
         ``serving.backends``.
     :param server_state: how far these are known; ``serving.backends``.
-    :param expired_until: seconds until which a server stays whose entry expired_until
-        while the store was away, by name; ``serving.backends``.
+    :param expired_until: seconds until which a server is kept whose entry
+        expired while the store was unavailable, by name;
+        ``serving.backends``.
     :param leaving: names of servers that are leaving; only ever grows while
         they are listed; ``serving.backends`` and ``serving.gossip``.
     :param cold_until: seconds until which a server counts as cold, by name;
@@ -97,8 +99,8 @@
         ``serving.planned_stop``.
     :param stop_plan: how it ends, once it is stopping;
         ``serving.planned_stop``.
-    :param store_unavailable_since: seconds since when the store does not answer,
-        0 while it does; ``serving.store_state``.
+    :param store_unavailable_since: seconds at which the store stopped
+        answering, 0 while it answers; ``serving.store_state``.
     :param budget_write_failed: whether the last write of a budget failed;
         ``serving.ledger_writer``.
     :param usual_times: how long requests take; ``serving.records`` and
--- a/tests/unit/test_first_keepers.py
+++ b/tests/unit/test_first_keepers.py
@@ -22,7 +22,7 @@
     for board in boards:
         board.started_at -= age
         for peer in board.peers.values():
-            peer.heard_at = 0
+            peer.last_heard_at = 0
     return boards
 
 
--- a/tools/fleet_mutations.py
+++ b/tools/fleet_mutations.py
@@ -5,7 +5,7 @@
 from tools.mutation import Mutation
 
 _INTERNAL: Final = 'dykemast/_internal'
-_OTHERS_CARRY_MORE: Final = 'return has_free_peer(board)'
+_OTHERS_CARRY_MORE: Final = 'return has_peer_with_capacity(board)'
 _RESERVE: Final = 'URGENT_RESERVE if priority >= LATER_PRIORITY else 0'
 
 #: Mutations of these rules.
@@ -22,8 +22,8 @@
         'keep lapsed entries for ever',
         'servers that are gone get nothing',
         f'{_INTERNAL}/serving/knowledge/backends.py',
-        'if until < now]',
-        'if until < 0]',
+        'if until < now',
+        'if until < 0',
         'test_server_lists',
     ),
     Mutation(
@@ -46,8 +46,8 @@
         'tell callers of routers that get too much',
         'callers reach routers that carry them',
         f'{_INTERNAL}/operations/entry_choice.py',
-        'if not one.router_load.exceeds_capacity()] or options',
-        '] or options',
+        'one for one in options if not one.router_load.exceeds_capacity()',
+        'one for one in options',
         'test_entry_choice',
     ),
     Mutation(
