--- a/src/dykemast/_internal/operations/planned_stop.py
+++ b/src/dykemast/_internal/operations/planned_stop.py
@@ -31,9 +31,10 @@
 class StopPlan(NamedTuple):
     """Moments of a planned stop, in seconds on the steady clock.
 
-    :param advertised_until: until when a caller may hold a valid entry answer that
-        names this router.
-    :param linger_until: until when the router stays though it has nothing to do.
+    :param advertised_until: until when a caller may hold a valid entry answer
+        that names this router.
+    :param linger_until: until when the router stays though it has nothing to
+        do.
     :param give_back_at: when it gives unused tokens back at the latest.
     :param ends_by: when requests that are let in have to end: the process may
         be killed soon after.
--- a/src/dykemast/_internal/serving/process/entry.py
+++ b/src/dykemast/_internal/serving/process/entry.py
@@ -128,9 +128,9 @@
 def _describe_peer(board: ServingBoard, peer: Peer) -> EntryOption:
     address = Endpoint(peer.card.host, peer.card.caller_port)
     region = board.settings.regions.get(peer.card.hall, '')
-    return EntryOption(address, peer.strain, region)
+    return EntryOption(address, peer.router_load, region)
 
 
 async def _answer_metrics(parts: Parts, responder: Responder) -> None:
-    body = render_metrics(parts.meters, describe_state(parts))
+    body = render_metrics(parts.metrics, describe_state(parts))
     await responder.answer(_OK, [_TEXT], body)
--- a/src/dykemast/_internal/serving/requests/responder.py
+++ b/src/dykemast/_internal/serving/requests/responder.py
@@ -51,7 +51,7 @@
         An answer that has begun is cut off instead: it must not look whole.
 
         :param error: the refusal.
-        :raises AnswerCutError: when an answer has begun.
+        :raises TruncatedResponseError: when an answer has begun.
         """
         if self.begun:
             raise TruncatedResponseError(str(error)) from error
--- a/src/dykemast/_internal/utils/packing.py
+++ b/src/dykemast/_internal/utils/packing.py
@@ -20,7 +20,8 @@
     """Write down a value.
 
     :param packed: a value of typed data.
-    :param level: of compression; ``FAST_COMPRESSION`` for what is written often.
+    :param level: of compression; ``FAST_COMPRESSION`` for what is written
+        often.
     :returns: compressed MessagePack.
     """
     return zlib.compress(msgspec.msgpack.encode(packed), level)
@@ -32,7 +33,7 @@
     :param body: the bytes.
     :param kind: type of the value.
     :returns: the value.
-    :raises NotUsableError: when it is none.
+    :raises InvalidDataError: when it is none.
     """
     try:
         return msgspec.msgpack.decode(zlib.decompress(body), type=kind)
--- a/tools/stop_mutations.py
+++ b/tools/stop_mutations.py
@@ -25,7 +25,8 @@
         'do not ask how long requests of a route take',
         _CUTS_NOTHING,
         f'{_INTERNAL}/serving/admission/in_progress.py',
-        'usual = board.usual_times.estimate_duration(admitted.route.name, admitted.started)',
+        'usual = board.usual_times.estimate_duration(\n'
+        '        admitted.route.name, admitted.started\n    )',
         'usual = 0.0',
         _OUTLASTS,
     ),
