--- a/src/dykemast/_internal/serving/admission/checks.py
+++ b/src/dykemast/_internal/serving/admission/checks.py
@@ -10,7 +10,7 @@
 from dykemast._internal.serving.knowledge.backpressure import (
     describe_backpressure,
 )
-from dykemast._internal.serving.knowledge.freshness import (
+from dykemast._internal.serving.knowledge.cache_freshness import (
     get_configuration_freshness,
     get_evacuations_freshness,
     get_servers_freshness,
--- a/src/dykemast/_internal/serving/admission/lookups.py
+++ b/src/dykemast/_internal/serving/admission/lookups.py
@@ -12,7 +12,7 @@
     check_preconditions,
     refuse_for_now,
 )
-from dykemast._internal.serving.knowledge.freshness import (
+from dykemast._internal.serving.knowledge.cache_freshness import (
     get_configuration_freshness,
 )
 from dykemast._internal.serving.requests.refusals import (
--- a/src/dykemast/_internal/serving/process/entry.py
+++ b/src/dykemast/_internal/serving/process/entry.py
@@ -14,7 +14,7 @@
     decode_entry_question,
     encode_entry,
 )
-from dykemast._internal.serving.knowledge.freshness import (
+from dykemast._internal.serving.knowledge.cache_freshness import (
     get_evacuations_freshness,
 )
 from dykemast._internal.serving.state.board import (
--- a/tests/unit/test_knowledge_age.py
+++ b/tests/unit/test_knowledge_age.py
@@ -15,7 +15,7 @@
 from dykemast._internal.serving.knowledge.configuration import (
     apply_configuration,
 )
-from dykemast._internal.serving.knowledge import ages, freshness
+from dykemast._internal.serving.knowledge import ages, cache_freshness
 from dykemast._internal.serving.members import peer_fetches, gossip_messages
 from dykemast._internal.serving.state.loads import make_loads
 from dykemast._internal.utils.clock import read_clock
@@ -88,10 +88,12 @@
     stored = StoreObject('main', 9, make_configuration(version=9))
     apply_configuration(peer, stored, 'store')
     board.last_read_at[CONFIGURATION_KIND] = read_clock()
-    assert freshness.get_configuration_freshness(board).may_refuse_permanently()
+    assert cache_freshness.get_configuration_freshness(
+        board
+    ).may_refuse_permanently()
     gossip_messages.GossipMessages(board, make_loads()).apply_message(
         gossip_messages.GossipMessages(peer, make_loads()).build_message()
     )
-    assert not freshness.get_configuration_freshness(
+    assert not cache_freshness.get_configuration_freshness(
         board
     ).may_refuse_permanently()
