--- a/src/dykemast/_internal/models/crashes.py
+++ b/src/dykemast/_internal/models/crashes.py
@@ -1,13 +1,13 @@
-"""What routers tell each other of servers that ended, and under what."""
+"""Messages in which routers report server crashes and suspect requests."""
 
 from typing import NamedTuple
 
 
 class Suspect(NamedTuple):
-    """A request that had just begun at a backend server when that ended.
+    """A request that had just started on a server when the server crashed.
 
-    :param request: digest by which it is known again.
-    :param sent_age_s: seconds since it was sent there.
+    :param request: digest that identifies the request.
+    :param sent_age_s: seconds since the request was sent to the server.
     """
 
     request: str
@@ -15,14 +15,15 @@
 
 
 class ServerCrash(NamedTuple):
-    """The end of one start of a backend server.
-
-    :param server: name of the start.
-    :param age: seconds since it ended.
-    :param suspects: requests that had just begun there.
-    :param service: that it served; empty when that is not known.
-    :param others: servers of that service that were there besides.
-    :param refuted: whether it answered later on, so that it had not ended.
+    """The crash of one incarnation of a backend server.
+
+    :param server: incarnation name of the server.
+    :param age: seconds since the crash.
+    :param suspects: requests that had just started on the server.
+    :param service: service of the server; empty if unknown.
+    :param others: number of other servers of the service at that time.
+    :param refuted: whether the server answered later, which shows that it had
+        not crashed.
     """
 
     server: str
@@ -34,10 +35,10 @@
 
 
 class Clearance(NamedTuple):
-    """A request that ran to its end.
+    """A request that ran without crashing its server.
 
-    :param request: digest by which it is known again.
-    :param age: seconds since it did.
+    :param request: digest that identifies the request.
+    :param age: seconds since the run.
     """
 
     request: str
@@ -45,13 +46,13 @@
 
 
 class Quarantine(NamedTuple):
-    """A request that is not sent to any server for a while.
+    """A request that is not sent to any server for some time.
 
-    :param request: digest by which it is known again.
-    :param age: seconds since this was decided.
-    :param seconds: for how long it still holds; 0 when it is over, and the
-        next run decides.
-    :param terms: how often it was decided.
+    :param request: digest that identifies the request.
+    :param age: seconds since the request was quarantined.
+    :param seconds: seconds left; 0 if the quarantine has expired and the next
+        run decides.
+    :param terms: number of times the request has been quarantined.
     """
 
     request: str
@@ -61,13 +62,13 @@
 
 
 class CrashGossip(NamedTuple):
-    """All that one router tells of crashes.
+    """Everything that one router reports about crashes.
 
-    :param crashes: servers that ended.
-    :param clearances: requests that were under suspicion and are not.
-    :param quarantines: requests that are not sent.
-    :param complete: whether it has asked the store, or another router, for
-        all there is since it was last away.
+    :param crashes: servers that crashed.
+    :param clearances: requests that are no longer suspects.
+    :param quarantines: requests that are not sent to servers.
+    :param complete: whether the router has read the complete state from the
+        store or a peer since it was last suspended.
     """
 
     crashes: tuple[ServerCrash, ...] = ()
@@ -77,12 +78,14 @@
 
 
 class CrashRecord(NamedTuple):
-    """What the store keeps of one request.
-
-    :param request: digest by which it is known again.
-    :param servers: starts of servers that ended under it, one after another.
-    :param terms: how often it was quarantined.
-    :param beside: by server, other requests whose own row of ends it is in.
+    """What the store holds about one request.
+
+    :param request: digest that identifies the request.
+    :param servers: incarnation names of the servers that crashed under the
+        request, in order.
+    :param terms: number of times the request has been quarantined.
+    :param beside: for each server, the other requests whose crash sequence
+        includes it.
     """
 
     request: str
@@ -91,28 +94,29 @@
     beside: tuple[tuple[str, ...], ...] = ()
 
     def list_suspects(self, place: int) -> tuple[str, ...]:
-        """List who may have ended one of the servers.
+        """List the requests that may have crashed one of the servers.
 
-        :param place: of the server.
-        :returns: requests.
+        :param place: index of the server.
+        :returns: digests of the requests.
         """
         others = self.beside[place] if place < len(self.beside) else ()
         return (self.request, *others)
 
     def covers(self, other: 'CrashRecord') -> bool:
-        """Tell whether this says all that another record says.
+        """Check whether this record includes all of another record.
 
-        :param other: of the same request.
+        :param other: record of the same request.
         :returns: whether it does.
         """
-        return self.terms >= other.terms and self.list_ends().issuperset(
-            other.list_ends()
+        return (
+            self.terms >= other.terms
+            and self.list_attributions().issuperset(other.list_attributions())
         )
 
-    def list_ends(self) -> set[tuple[str, str]]:
-        """List who may have ended which server.
+    def list_attributions(self) -> set[tuple[str, str]]:
+        """List which request may have crashed which server.
 
-        :returns: pairs of a server's start and a request.
+        :returns: pairs of an incarnation name and a request.
         """
         return {
             (server, suspect)
--- a/src/dykemast/_internal/operations/broken_sends.py
+++ b/src/dykemast/_internal/operations/broken_sends.py
@@ -1,29 +1,29 @@
-"""Sends that broke off, until it is known whether their servers ended."""
+"""Sends whose connection broke, kept until the cause is known."""
 
 import asyncio
 from typing import Final, NamedTuple
 
 from dykemast._internal.operations.crash_sequences import CrashedRun
 
-#: Seconds from the first event on after which a run has begun well: whoever
-#: ends a server does so when it begins to run.
+#: A request that crashes its server does so when it starts to run. After this
+#: time from its first event it is not a suspect.
 SUSPECT_WINDOW_S: Final = 1.0
-#: Seconds within which ends count as one moment: what it takes until a loss of
-#: all servers of a service is noticed at each of them.
+#: Crashes within this time count as one: the time until a loss of all servers
+#: of a service is noticed on each of them.
 SIMULTANEOUS_WINDOW_S: Final = 1.0
-#: Seconds after which it does not matter any more why a send broke off: the
-#: entry of a server that ended is gone by then, or names another start.
+#: By then the entry of a crashed server has been removed or names another
+#: incarnation, so the cause of a broken send no longer matters.
 BROKEN_SEND_RETENTION_S: Final = 6.0
 
 
 class BrokenSend(NamedTuple):
-    """A send whose connection ended before the answer did.
+    """A send whose connection broke before the response was complete.
 
-    :param server: name of the start of the server.
+    :param server: incarnation name of the server.
     :param request: digest of the request.
-    :param sent_at: seconds on the steady clock.
-    :param event_at: when its first event had come; None for never.
-    :param broken_at: when it broke off.
+    :param sent_at: seconds on the monotonic clock.
+    :param event_at: time of the first event; None if there was none.
+    :param broken_at: time at which the connection broke.
     """
 
     server: str
@@ -32,10 +32,10 @@
     event_at: float | None
     broken_at: float
 
-    def had_just_begun(self) -> bool:
-        """Tell whether the request may have ended its server.
+    def had_just_started(self) -> bool:
+        """Check whether the request may have crashed the server.
 
-        :returns: whether it may.
+        :returns: whether it had just started to run.
         """
         if self.event_at is None:
             return True
@@ -43,18 +43,18 @@
 
 
 class BrokenSends:
-    """Sends that broke off lately, by server."""
+    """Recent broken sends by server."""
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Start without any broken sends."""
         self._sends: dict[str, list[BrokenSend]] = {}
-        #: When a server last ended to which sends had broken off, by service.
+        #: Time of the last crash of a server with broken sends, by service.
         self.ended_at: dict[str, float] = {}
-        #: Set while there are any, or such a server ended a moment ago.
+        #: Set while there are broken sends or recent crashes of their servers.
         self.pending = asyncio.Event()
 
-    def note(self, broken: BrokenSend) -> None:
-        """Take note of a send that broke off.
+    def record(self, broken: BrokenSend) -> None:
+        """Record a send whose connection broke.
 
         :param broken: the send.
         """
@@ -62,35 +62,35 @@
         self.pending.set()
 
     def record_server_crash(self, service: str, now: float) -> None:
-        """Take note that a server ended whose sends broke off.
+        """Record the crash of a server with broken sends.
 
-        :param service: that it served.
-        :param now: seconds.
+        :param service: service of the server.
+        :param now: seconds on the monotonic clock.
         """
         self.ended_at[service] = now
         self.pending.set()
 
-    def list_last(self) -> dict[str, float]:
-        """List the servers whose sends broke off.
+    def list_last_breaks(self) -> dict[str, float]:
+        """List the servers with broken sends.
 
-        :returns: when the last one did, by name of the server's start.
+        :returns: time of the last broken send, by incarnation name.
         """
         return {
             server: sends[-1].broken_at for server, sends in self._sends.items()
         }
 
-    def take(self, server: str) -> list[BrokenSend]:
-        """Take the sends of a server that has ended.
+    def take_sends(self, server: str) -> list[BrokenSend]:
+        """Remove and return the broken sends of a crashed server.
 
-        :param server: name of its start.
-        :returns: the sends; they are not kept any longer.
+        :param server: incarnation name of the server.
+        :returns: the sends.
         """
         return self._sends.pop(server, [])
 
-    def forget(self, now: float) -> None:
-        """Forget the sends that broke off too long ago.
+    def prune(self, now: float) -> None:
+        """Remove sends and crashes that have expired.
 
-        :param now: seconds.
+        :param now: seconds on the monotonic clock.
         """
         self._sends = {
             server: sends
@@ -106,14 +106,14 @@
             self.pending.clear()
 
     def list_runs(self, request: str) -> list[CrashedRun]:
-        """List the runs of a request that broke off as it had just begun.
+        """List runs of a request whose connection broke just after the start.
 
-        :param request: its digest.
-        :returns: the runs, as if their servers had ended.
+        :param request: digest of the request.
+        :returns: the runs, as if their servers had crashed.
         """
         return [
             CrashedRun(one.server, one.sent_at, one.broken_at)
             for sends in self._sends.values()
             for one in sends
-            if one.request == request and one.had_just_begun()
+            if one.request == request and one.had_just_started()
         ]
--- a/src/dykemast/_internal/operations/crash_evidence.py
+++ b/src/dykemast/_internal/operations/crash_evidence.py
@@ -1,28 +1,30 @@
-"""Take note of servers that ended, and of requests that ran to their end."""
+"""Recording of server crashes and of runs that clear a request."""
 
 from typing import Final
 
 from dykemast._internal.models.crashes import ServerCrash
 from dykemast._internal.operations.crash_table import Crash, CrashTable
 
-#: Requests that are kept of one end: those that are known from others come
-#: first, then who was sent last, as whoever ends a server has just begun.
+#: Suspects kept per crash. Requests already suspected for other crashes come
+#: first, then the most recently sent ones, since a request that crashes its
+#: server has just started.
 MAX_SUSPECTS: Final = 64
 
 
 def record_crash(table: CrashTable, crash: ServerCrash, now: float) -> bool:
-    """Take note that a server has ended.
+    """Record the crash of a server.
 
-    :param table: what is known; times of an end that it knows stay.
-    :param crash: the end.
-    :param now: seconds.
-    :returns: whether any of it was new.
+    :param table: the crash table; earlier reports of the same crash keep their
+        times.
+    :param crash: the crash.
+    :param now: seconds on the monotonic clock.
+    :returns: whether the report contained anything new.
     """
     fresh = Crash(now - crash.age, crash.service)
     known = table.crashes.setdefault(crash.server, fresh)
     if crash.suspects and not known.sent_at:
-        # Until then only a refused connection told of it, which may have come
-        # late, or before the server listened.
+        # So far only a refused connection indicated the crash. That may be
+        # late, or it may date from before the server started to listen.
         known.ended_at = fresh.ended_at
     known.others = max(known.others, crash.others)
     refuted = crash.refuted and not known.refuted
@@ -31,11 +33,11 @@
 
 
 def refute_crash(table: CrashTable, server: str) -> bool:
-    """Take note that a server that was taken for ended has answered.
+    """Record a response from a server that was assumed to have crashed.
 
-    :param table: what is known.
-    :param server: name of its start.
-    :returns: whether that is new.
+    :param table: the crash table.
+    :param server: incarnation name of the server.
+    :returns: whether the crash was not refuted before.
     """
     crash = table.crashes.get(server)
     if crash is None or crash.refuted:
@@ -45,12 +47,12 @@
 
 
 def clear_suspect(table: CrashTable, request: str, now: float) -> bool:
-    """Clear a request of all that is known of it until now.
+    """Clear a request of all crashes up to now.
 
-    :param table: what is known.
-    :param request: its digest.
-    :param now: seconds.
-    :returns: whether anything was.
+    :param table: the crash table.
+    :param request: digest of the request.
+    :param now: seconds on the monotonic clock.
+    :returns: whether the request was a suspect.
     """
     if (
         request not in table.crash_sequences
@@ -69,8 +71,8 @@
 ) -> bool:
     before = set(known.sent_at)
     for suspect in crash.suspects:
-        # Of several sends the first may have ended it, and was there before
-        # what a later one seems to follow.
+        # The first of several sends may have caused the crash, and it was
+        # running before any crash that a later send appears to follow.
         sent_at = now - suspect.sent_age_s
         first_at = known.sent_at.get(suspect.request, sent_at)
         known.sent_at[suspect.request] = min(first_at, sent_at)
@@ -85,12 +87,12 @@
     crash: Crash,
     count: int = MAX_SUSPECTS,
 ) -> list[str]:
-    """Rank who may have ended a server.
+    """Rank the suspects of a crash.
 
-    :param table: what is known.
-    :param crash: the end of the server.
-    :param count: how many are wanted.
-    :returns: requests, the likeliest first.
+    :param table: the crash table.
+    :param crash: the crash.
+    :param count: maximum number of suspects to return.
+    :returns: digests of the requests, most likely first.
     """
     sent_at = crash.sent_at
     ranked = sorted(
--- a/src/dykemast/_internal/operations/crash_gossip.py
+++ b/src/dykemast/_internal/operations/crash_gossip.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of requests that end servers."""
+"""Crash reports that routers exchange."""
 
 import operator
 from typing import Final
@@ -15,65 +15,68 @@
 from dykemast._internal.operations.crash_evidence import record_crash
 from dykemast._internal.operations.crash_table import CrashTable, QuarantineTerm
 
-#: Requests that are told of at once, of those that are cleared and of those in
-#: quarantine; the newest come first, and the store keeps all of the latter.
+#: Cleared and quarantined requests in one message, each. The most recent ones
+#: come first, and the store holds all quarantines.
 MAX_REQUESTS: Final = 64
-#: Seconds by which word of the same run may differ that came over others.
+#: Reports of one run that arrive through different peers may differ by this
+#: much.
 SAME_RUN_TOLERANCE_S: Final = 1.0
 
 
 def build_crash_gossip(table: CrashTable, now: float) -> CrashGossip:
-    """Tell others what is known.
+    """Build the crash report for peers.
 
-    :param table: what is known.
-    :param now: seconds.
-    :returns: the news, bounded.
+    :param table: the crash table.
+    :param now: seconds on the monotonic clock.
+    :returns: the report, bounded in size.
     """
     return CrashGossip(
         select_crashes(table, now),
-        _tell_clearances(table, now),
-        _tell_quarantines(table, now),
+        _list_clearances(table, now),
+        _list_quarantines(table, now),
     )
 
 
 def apply_crash_gossip(
     table: CrashTable, news: CrashGossip, now: float
 ) -> bool:
-    """Take what a peer tells.
+    """Merge a crash report from a peer.
 
-    :param table: what is known.
-    :param news: the news.
-    :param now: seconds.
-    :returns: whether any of it was new.
+    :param table: the crash table.
+    :param message: the report.
+    :param now: seconds on the monotonic clock.
+    :returns: whether the report contained anything new.
     """
     changes = [record_crash(table, one, now) for one in news.crashes]
-    changes += [_take_clearance(table, one, now) for one in news.clearances]
+    changes += [_apply_clearance(table, one, now) for one in news.clearances]
     changes += [apply_quarantine(table, one, now) for one in news.quarantines]
     return any(changes)
 
 
-def apply_quarantine(table: CrashTable, told: Quarantine, now: float) -> bool:
-    """Take a quarantine that another router decided.
+def apply_quarantine(
+    table: CrashTable, reported: Quarantine, now: float
+) -> bool:
+    """Merge a quarantine that another router decided.
 
-    :param table: what is known.
-    :param told: the quarantine.
-    :param now: seconds.
-    :returns: whether it is new.
+    :param table: the crash table.
+    :param reported: the quarantine.
+    :param now: seconds on the monotonic clock.
+    :returns: whether the quarantine was new.
     """
-    decided_at = now - told.age
-    known = table.quarantines.get(told.request)
-    if known and known.terms >= told.terms:
+    decided_at = now - reported.age
+    known = table.quarantines.get(reported.request)
+    if known and known.terms >= reported.terms:
         return False
-    if table.cleared.get(told.request, decided_at - 1) >= decided_at:
+    if table.cleared.get(reported.request, decided_at - 1) >= decided_at:
         return False
-    until = now + told.seconds
-    table.quarantines[told.request] = QuarantineTerm(
-        decided_at, until, told.terms
+    until = now + reported.seconds
+    table.quarantines[reported.request] = QuarantineTerm(
+        decided_at, until, reported.terms
     )
     return True
 
 
-def _tell_clearances(table: CrashTable, now: float) -> tuple[Clearance, ...]:
+def _list_clearances(table: CrashTable, now: float) -> tuple[Clearance, ...]:
     newest = sorted(
         table.cleared.items(), key=operator.itemgetter(1), reverse=True
     )
@@ -83,16 +86,18 @@
     )
 
 
-def _take_clearance(table: CrashTable, told: Clearance, now: float) -> bool:
-    cleared_at = now - told.age
-    known = table.cleared.get(told.request)
+def _apply_clearance(
+    table: CrashTable, reported: Clearance, now: float
+) -> bool:
+    cleared_at = now - reported.age
+    known = table.cleared.get(reported.request)
     if known is not None and known >= cleared_at - SAME_RUN_TOLERANCE_S:
         return False
-    table.cleared[told.request] = cleared_at
+    table.cleared[reported.request] = cleared_at
     return True
 
 
-def _tell_quarantines(table: CrashTable, now: float) -> tuple[Quarantine, ...]:
+def _list_quarantines(table: CrashTable, now: float) -> tuple[Quarantine, ...]:
     newest = sorted(
         table.quarantines.items(),
         key=lambda pair: pair[1].decided_at,
--- a/src/dykemast/_internal/operations/crash_persistence.py
+++ b/src/dykemast/_internal/operations/crash_persistence.py
@@ -1,7 +1,7 @@
-"""What the store has to hold of requests that end servers.
+"""Selection of the crash records that the store has to hold.
 
-Routers keep nothing themselves: what only they knew would be gone when all of
-them are lost at once, and the request would end three more servers.
+Routers have no storage of their own. Without the store, a loss of all routers
+would erase their knowledge, and the request would crash three more servers.
 """
 
 from typing import Final
@@ -13,16 +13,16 @@
 )
 from dykemast._internal.operations.crash_table import CrashTable
 
-#: Ends from which on a request is kept: one end has many suspects, of whom a
-#: second leaves hardly any but those that end servers.
+#: A record is stored from the second crash on. A single crash has many
+#: suspects; few but the crashing requests are suspects of a second one.
 MIN_STORED_CRASHES: Final = 2
 
 
 def make_record(table: CrashTable, request: str) -> CrashRecord:
-    """Make what the store has to hold of a request.
+    """Make the record that the store has to hold for a request.
 
-    :param table: what is known.
-    :param request: its digest.
+    :param table: the crash table.
+    :param request: digest of the request.
     :returns: the record.
     """
     sequence = table.crash_sequences.get(request, [])[-MAX_SERVERS:]
@@ -32,52 +32,53 @@
         request,
         servers,
         term.terms if term else 0,
-        tuple(_list_beside(table, request, server) for server in servers),
+        tuple(_list_co_suspects(table, request, server) for server in servers),
     )
 
 
 def list_unsaved_records(table: CrashTable) -> list[CrashRecord]:
-    """List what the store has to hold and does not.
+    """List the records that the store has to hold and does not.
 
-    :param table: what is known.
-    :returns: records.
+    :param table: the crash table.
+    :returns: the records.
     """
     wanted = set(table.quarantines)
-    wanted.update(_list_repeated(table))
+    wanted.update(_list_repeated_suspects(table))
     records = [make_record(table, request) for request in wanted]
-    return [one for one in records if not _is_kept(table, one)]
+    return [one for one in records if not _is_stored(table, one)]
 
 
 def list_stale_records(table: CrashTable) -> list[str]:
-    """List the requests that the store holds and has not to hold any more.
+    """List the requests whose stored record is no longer needed.
 
-    :param table: what is known.
-    :returns: their digests.
+    :param table: the crash table.
+    :returns: digests of the requests.
     """
     return [
         request
-        for request in table.kept
+        for request in table.stored_records
         if request not in table.quarantines and not table.count_crashes(request)
     ]
 
 
-def _list_beside(
+def _list_co_suspects(
     table: CrashTable,
     request: str,
     server: str,
 ) -> tuple[str, ...]:
-    # Without them, whoever was beside the guilty one each time would be alone
-    # in its own record, and guilty by it.
+    # Without its co-suspects, a request that was running beside the crashing
+    # one each time would be the only suspect in its own record and would be
+    # quarantined.
     others = (
         other
-        for other in _list_repeated(table)
+        for other in _list_repeated_suspects(table)
         if other != request
         and any(run.server == server for run in table.crash_sequences[other])
     )
     return tuple(sorted(others)[:MAX_CO_SUSPECTS])
 
 
-def _list_repeated(table: CrashTable) -> list[str]:
+def _list_repeated_suspects(table: CrashTable) -> list[str]:
     return [
         request
         for request, sequence in table.crash_sequences.items()
@@ -85,6 +86,6 @@
     ]
 
 
-def _is_kept(table: CrashTable, record: CrashRecord) -> bool:
-    kept = table.kept.get(record.request)
-    return kept is not None and kept.covers(record)
+def _is_stored(table: CrashTable, record: CrashRecord) -> bool:
+    stored_records = table.stored_records.get(record.request)
+    return stored_records is not None and stored_records.covers(record)
--- a/src/dykemast/_internal/operations/crash_records.py
+++ b/src/dykemast/_internal/operations/crash_records.py
@@ -1,4 +1,4 @@
-"""Take over what the store keeps of requests that end servers."""
+"""Conversion of crash records between the store and the crash table."""
 
 import math
 from collections.abc import Iterator
@@ -18,16 +18,16 @@
 from dykemast._internal.operations.crash_gossip import apply_quarantine
 from dykemast._internal.operations.crash_table import CrashTable
 
-#: Servers that are believed of one record.
+#: Servers accepted in one record.
 MAX_SERVERS: Final = 16
-#: Other requests that are believed to have been at one of them.
+#: Other suspects accepted for one server of a record.
 MAX_CO_SUSPECTS: Final = 8
 
 
 _Names = tuple[str, ...]
 
 
-class _HeldRecord(TypedDict):
+class _StoredRecord(TypedDict):
     request: str
     servers: tuple[str, ...]
     terms: int
@@ -35,16 +35,17 @@
 
 
 def apply_record(table: CrashTable, record: CrashRecord, now: float) -> None:
-    """Take over what the store holds of a request.
+    """Merge a record from the store into the crash table.
 
-    When its servers ended is not told: they count as ended now, a moment after
-    one another, so that a loss of all routers makes nothing forgotten.
+    Records do not hold the times of crashes. The crashes count as recent, each
+    shortly after the previous one, so that a loss of all routers does not
+    expire them early.
 
-    :param table: what is known.
-    :param record: what it holds.
-    :param now: seconds.
+    :param table: the crash table.
+    :param record: the record.
+    :param now: seconds on the monotonic clock.
     """
-    table.kept[record.request] = record
+    table.stored_records[record.request] = record
     if record.request in table.cleared:
         return
     for crash in _make_crashes(table, record, now):
@@ -64,8 +65,8 @@
     for place, server in enumerate(record.servers):
         known = table.crashes.get(server)
         if known:
-            # Records of two requests share servers: all have to tell the same
-            # moment of an end, or the longer row of the two breaks.
+            # Records of two requests may share servers. Both must use the same
+            # time for a crash, or the longer of the two sequences is cut short.
             ended_at = known.ended_at
         else:
             assumed_at = now - (len(record.servers) - place)
@@ -83,10 +84,10 @@
 
 
 def encode_record(record: CrashRecord) -> dict[str, Any]:
-    """Make what an object of the store holds.
+    """Encode a record as fields of a store object.
 
     :param record: the record.
-    :returns: fields by name, which operators can read.
+    :returns: fields by name, readable for operators.
     """
     return {
         **record._asdict(),
@@ -95,21 +96,26 @@
     }
 
 
-def decode_record(name: str, held: object) -> CrashRecord:
-    """Read what an object of the store holds.
+def decode_record(name: str, spec: object) -> CrashRecord:
+    """Decode the fields of a store object.
 
-    :param name: its name.
-    :param held: what it holds.
+    :param name: name of the object.
+    :param spec: fields of the object.
     :returns: the record.
-    :raises NotUsableError: when it makes no sense.
+    :raises InvalidDataError: when the fields are not valid.
     """
     try:
-        fields = msgspec.convert(held, _HeldRecord)
+        fields = msgspec.convert(spec, _StoredRecord)
     except msgspec.ValidationError as error:
-        raise InvalidDataError(f'a record of crashes: {error}') from error
+        raise InvalidDataError(
+            f'crash record "{name}" is not valid: {error}'
+        ) from error
     record = CrashRecord(**fields)
     if record.request != name or record.terms < 0:
-        raise InvalidDataError('a record of crashes is of another request.')
+        raise InvalidDataError(
+            f'crash record "{name}" names request "{record.request}" and '
+            f'{record.terms} terms (at least 0)'
+        )
     return record._replace(
         servers=record.servers[:MAX_SERVERS],
         beside=tuple(others[:MAX_CO_SUSPECTS] for others in record.beside),
--- a/src/dykemast/_internal/operations/crash_retention.py
+++ b/src/dykemast/_internal/operations/crash_retention.py
@@ -1,4 +1,4 @@
-"""Forget what is too old to count, and what is too much to keep."""
+"""Expiry and size limits of the crash table."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -8,38 +8,38 @@
     CrashTable,
 )
 
-#: Ends that are kept: some times the servers of a large service.
+#: Crashes kept: several times the servers of a large service.
 MAX_CRASHES: Final = 256
-#: Requests that are kept, in quarantine or cleared: whoever fills this on
-#: purpose has to end three servers for each that is in quarantine.
+#: Quarantined and cleared requests kept, each. To fill this table deliberately,
+#: a caller has to crash three servers per quarantined request.
 MAX_REQUESTS: Final = 1000
 
 
 def prune_expired(table: CrashTable, now: float) -> None:
-    """Forget what does not count any more.
+    """Remove what has expired or exceeds a size limit.
 
-    :param table: what is known.
-    :param now: seconds.
+    :param table: the crash table.
+    :param now: seconds on the monotonic clock.
     """
     limit = now - CRASH_RETENTION_S
-    _forget_crashes(table, limit)
-    _forget_quarantines(table, limit)
-    for request in _find_old(table.cleared, limit, MAX_REQUESTS):
+    _prune_crashes(table, limit)
+    _prune_quarantines(table, limit)
+    for request in _find_expired(table.cleared, limit, MAX_REQUESTS):
         table.cleared.pop(request)
 
 
-def _forget_crashes(table: CrashTable, limit: float) -> None:
+def _prune_crashes(table: CrashTable, limit: float) -> None:
     ended_at = {name: one.ended_at for name, one in table.crashes.items()}
-    for server in _find_old(ended_at, limit, MAX_CRASHES):
+    for server in _find_expired(ended_at, limit, MAX_CRASHES):
         table.crashes.pop(server)
 
 
-def _forget_quarantines(table: CrashTable, limit: float) -> None:
+def _prune_quarantines(table: CrashTable, limit: float) -> None:
     for cleared in _list_cleared(table):
         table.quarantines.pop(cleared)
     until = {name: one.until for name, one in table.quarantines.items()}
-    for over in _find_old(until, limit, MAX_REQUESTS):
-        table.quarantines.pop(over)
+    for expired in _find_expired(until, limit, MAX_REQUESTS):
+        table.quarantines.pop(expired)
 
 
 def _list_cleared(table: CrashTable) -> list[str]:
@@ -50,12 +50,14 @@
     ]
 
 
-def _find_old(
+def _find_expired(
     times: Mapping[str, float],
     limit: float,
-    most: int,
+    max_count: int,
 ) -> list[str]:
-    """Find what is older than a limit, and the oldest beyond a number."""
+    """Find items older than a limit, and the oldest beyond a count."""
     newest = sorted(times, key=times.__getitem__, reverse=True)
-    kept = [name for name in newest[:most] if times[name] >= limit]
-    return newest[len(kept) :]
+    stored_records = [
+        name for name in newest[:max_count] if times[name] >= limit
+    ]
+    return newest[len(stored_records) :]
--- a/src/dykemast/_internal/operations/crash_review.py
+++ b/src/dykemast/_internal/operations/crash_review.py
@@ -1,4 +1,4 @@
-"""Review which requests are not sent to servers any more."""
+"""Quarantine decisions."""
 
 from typing import Final
 
@@ -14,29 +14,31 @@
     QuarantineTerm,
 )
 
-#: Ends of servers, one after another, for which a request is quarantined: users
-#: bear three before all routers have to know it.
+#: Crashes in sequence after which a request is quarantined. The users accept
+#: three before all routers must know the request.
 QUARANTINE_CRASHES: Final = 3
-#: Those among them that no other request may explain as well. With fewer, who
-#: was with such a request each time would be quarantined too; with all three,
-#: two such requests that met once would both go on.
+#: Of these crashes, those that no other request may explain. With fewer, a
+#: request that ran beside a crashing one each time would be quarantined too. If
+#: all three were required, two crashing requests that once shared a server
+#: would both continue.
 UNEXPLAINED_CRASHES: Final = 2
-#: Seconds after an end before it decides: what else ended at that moment is
-#: known by then, and a run that was under way elsewhere has begun well. Users
-#: give 3 s; until then the request is held back.
+#: Delay from a crash until it decides. By then, other crashes of the same
+#: moment are known, and runs on other servers have streamed events long enough
+#: to clear their request. The users allow 3 s; the request is held back
+#: meanwhile.
 DECISION_DELAY_S: Final = 1.5
-#: Seconds for which a quarantine holds at first, as ends count; each next one
-#: holds twice as long.
+#: Duration of the first quarantine, equal to the retention of crashes. Each
+#: further one lasts twice as long.
 QUARANTINE_S: Final = CRASH_RETENTION_S
 MAX_DOUBLINGS: Final = 6
 
 
 def review_suspects(table: CrashTable, now: float) -> list[str]:
-    """Review all after something was taken note of, or time has passed.
+    """Update crash sequences and quarantines.
 
-    :param table: what is known.
-    :param now: seconds.
-    :returns: requests that are in quarantine from now on.
+    :param table: the crash table.
+    :param now: seconds on the monotonic clock.
+    :returns: digests of the requests that are newly quarantined.
     """
     prune_expired(table, now)
     runs = list_runs(table)
@@ -56,35 +58,36 @@
 def compute_decision_delay(
     table: CrashTable, request: str, now: float
 ) -> float:
-    """Measure until when it is decided whether a request ends servers.
+    """Compute the time until a pending quarantine decision.
 
-    :param table: what is known.
-    :param request: its digest.
-    :param now: seconds.
-    :returns: seconds; 0 when nothing is to be decided.
+    :param table: the crash table.
+    :param request: digest of the request.
+    :param now: seconds on the monotonic clock.
+    :returns: seconds; 0 if no decision is pending.
     """
     if request not in table.crash_sequences or not _is_crashing(table, request):
         return 0
-    return max(0, _find_decisive(table, request) + DECISION_DELAY_S - now)
+    return max(0, _find_decisive_time(table, request) + DECISION_DELAY_S - now)
 
 
 def compute_quarantine_time(terms: int) -> float:
-    """Measure for how long a quarantine holds.
+    """Compute the duration of a quarantine.
 
-    :param terms: how often it was decided.
+    :param terms: number of times the request has been quarantined.
     :returns: seconds.
     """
     return QUARANTINE_S * 2 ** min(MAX_DOUBLINGS, terms - 1)
 
 
 def _is_settled(table: CrashTable, request: str, now: float) -> bool:
-    return now >= _find_decisive(table, request) + DECISION_DELAY_S
+    return now >= _find_decisive_time(table, request) + DECISION_DELAY_S
 
 
-def _find_decisive(table: CrashTable, request: str) -> float:
-    """Find when the end came for which a request is quarantined.
+def _find_decisive_time(table: CrashTable, request: str) -> float:
+    """Find the time of the crash that leads to the quarantine.
 
-    Ends after it put nothing off: routers that have not heard may go on.
+    Later crashes do not postpone the decision, since routers that have not been
+    notified yet may continue to send the request.
     """
     ended_at = [run.ended_at for run in table.crash_sequences[request]]
     term = table.quarantines.get(request)
@@ -97,7 +100,7 @@
     sequence = table.crash_sequences[request]
     term = table.quarantines.get(request)
     if term:
-        # It was given another chance, and ended the server that took it.
+        # The request was tried again and crashed the server.
         return sequence[-1].ended_at > term.until
     if len(sequence) < QUARANTINE_CRASHES:
         return False
--- a/src/dykemast/_internal/operations/crash_runs.py
+++ b/src/dykemast/_internal/operations/crash_runs.py
@@ -1,4 +1,4 @@
-"""Runs of requests under which servers ended, as far as they tell anything."""
+"""Runs of suspect requests that count as evidence."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -7,15 +7,15 @@
 from dykemast._internal.operations.crash_sequences import CrashedRun
 from dykemast._internal.operations.crash_table import Crash, CrashTable
 
-#: Ends of servers from which on a request runs alone: it is not repeated, and
-#: a router has one of it in progress. The next end decides.
+#: From this number of crashes on, a request is on trial: it is not retried, and
+#: a router runs it once at a time. The next crash decides.
 TRIAL_CRASHES: Final = 2
 
 
 def list_runs(table: CrashTable) -> dict[str, list[CrashedRun]]:
-    """List the runs that tell something.
+    """List the runs that count as evidence.
 
-    :param table: what is known.
+    :param table: the crash table.
     :returns: runs by request.
     """
     runs: dict[str, list[CrashedRun]] = {}
@@ -26,11 +26,11 @@
 
 
 def list_suspects_at(table: CrashTable, server: str) -> list[str]:
-    """List who may have ended a server and has not run well since.
+    """List the suspects of a crash that have not been cleared since.
 
-    :param table: what is known.
-    :param server: name of its start.
-    :returns: requests.
+    :param table: the crash table.
+    :param server: incarnation name of the server.
+    :returns: digests of the requests.
     """
     crash = table.crashes[server]
     if crash.refuted:
@@ -44,13 +44,13 @@
 
 
 def list_rivals(table: CrashTable, request: str) -> set[str]:
-    """List the requests on trial that its ends do not tell from a request.
+    """List the other requests on trial that the same crashes implicate.
 
-    What is in quarantine explains the ends that it was at.
+    A crash with a quarantined suspect is explained by that suspect.
 
-    :param table: what is known.
-    :param request: its digest.
-    :returns: other requests.
+    :param table: the crash table.
+    :param request: digest of the request.
+    :returns: digests of the other requests.
     """
     rivals: set[str] = set()
     for run in table.crash_sequences.get(request, ()):
@@ -66,38 +66,39 @@
 ) -> Iterator[tuple[str, CrashedRun]]:
     crash = table.crashes[server]
     for request in list_suspects_at(table, server):
-        if not _is_common(table, request, crash):
+        if not _is_common_crash(table, request, crash):
             sent_at = crash.sent_at[request]
             yield request, CrashedRun(server, sent_at, crash.ended_at)
 
 
-def _is_common(table: CrashTable, request: str, crash: Crash) -> bool:
-    """Tell whether all servers of the service ended at one moment.
+def _is_common_crash(table: CrashTable, request: str, crash: Crash) -> bool:
+    """Check whether all servers of the service crashed together.
 
-    Whatever did that, everybody's question was under way at each of them.
+    In that case a request that many callers send was running on each of them,
+    whatever the cause.
     """
     if not crash.others:
         return False
     at_once = sum(
-        _ended_with(crash, other) and not _is_after(request, crash, other)
+        _crashed_together(crash, other) and not _is_after(request, crash, other)
         for other in table.crashes.values()
         if other is not crash
     )
     return at_once >= crash.others
 
 
-def _ended_with(crash: Crash, other: Crash) -> bool:
+def _crashed_together(crash: Crash, other: Crash) -> bool:
     if other.refuted or other.service != crash.service:
         return False
     return abs(other.ended_at - crash.ended_at) <= SIMULTANEOUS_WINDOW_S
 
 
 def _is_after(request: str, crash: Crash, other: Crash) -> bool:
-    """Tell whether a request was sent to one server when the other had ended.
+    """Check whether a request was sent to one server after the other crashed.
 
-    If it was at both, it may well have ended both.
+    A request that ran on both servers may have crashed both.
     """
-    first, last = sorted((crash, other), key=Crash.read_end)
+    first, last = sorted((crash, other), key=Crash.end_time)
     sent_at = last.sent_at.get(request)
     if sent_at is None or request not in first.sent_at:
         return False
--- a/src/dykemast/_internal/operations/crash_sequences.py
+++ b/src/dykemast/_internal/operations/crash_sequences.py
@@ -1,21 +1,23 @@
-"""Which request ended servers, told from those that were there by chance.
+"""Attribution of server crashes to requests.
 
-When a server ends, all that ran there breaks off. One request that ends each
-server that begins to run it is among them each time; the others are there once
-or twice, the more often the longer they run. Four things tell them apart:
+When a server crashes, all requests on it break. A request that crashes every
+server that starts to run it is among them each time. Other requests are among
+them once or twice, and more often the longer they run. Four rules separate
+them:
 
-- who had brought events for a while had begun long before, and did not end it;
-- ends count one after another: a run that began before the end of the last one
-  shows nothing more. Times that others tell are late by the transit of news,
-  so that the router which saw the end before the next send counts right. When
-  all servers end at one moment, a question that everybody asks is under many
-  of them, and this counts as one;
-- an end counts for the request with the most ends alone, as the others are
-  explained by it;
-- a run that comes to its end, or brings events for a while, clears the request.
+- A request that has been streaming events for a while did not crash its server.
+- Crashes count in sequence: a run that started before the previous crash is no
+  additional evidence. Times reported by peers are late by the delivery time of
+  the message, so the router that saw the crash before the next send counts
+  correctly. When all servers crash together, a request that many callers send
+  is running on several of them; this counts as one crash.
+- A crash is attributed to the suspect with the longest crash sequence, since
+  that request explains the crash for the other suspects.
+- A run that completes, or streams events for a while, clears the request.
 
-When one request ended a dozen servers within 14 s, another ran on three of
-these; the first rule leaves it under suspicion for one of the three.
+In one incident a request crashed a dozen servers within 14 s while another one
+ran on three of them. Under the first rule the other request remains a suspect
+for only one of the three.
 """
 
 import operator
@@ -24,11 +26,11 @@
 
 
 class CrashedRun(NamedTuple):
-    """A run of a request that was under way when its server ended.
+    """A run of a request that was in progress when its server crashed.
 
-    :param server: name of the start of the server.
-    :param sent_at: seconds at which the request was sent there.
-    :param ended_at: seconds at which the server ended.
+    :param server: incarnation name of the server.
+    :param sent_at: time at which the request was sent to the server.
+    :param ended_at: time at which the server crashed.
     """
 
     server: str
@@ -37,10 +39,10 @@
 
 
 def find_crash_sequence(runs: Iterable[CrashedRun]) -> list[CrashedRun]:
-    """Find the longest row of runs that ended servers one after another.
+    """Find the longest sequence of runs that crashed servers in turn.
 
-    :param runs: of one request.
-    :returns: runs, each begun after the one before had ended.
+    :param runs: runs of one request.
+    :returns: runs, each started after the previous crash.
     """
     sequence: list[CrashedRun] = []
     for run in sorted(runs, key=operator.attrgetter('ended_at')):
@@ -54,12 +56,12 @@
     crash_sequences: Mapping[str, list[CrashedRun]],
     present: Mapping[str, Iterable[str]],
 ) -> int:
-    """Count the ends that no other request explains as well.
+    """Count the crashes that no other request explains equally well.
 
-    :param request: the request.
-    :param crash_sequences: of all requests.
-    :param present: requests that had just begun at each server that ended.
-    :returns: how many of its chain are its own.
+    :param request: digest of the request.
+    :param crash_sequences: crash sequences of all requests.
+    :param present: requests that had just started on each crashed server.
+    :returns: number of crashes attributed to the request alone.
     """
     own = len(crash_sequences[request])
     return sum(
--- a/src/dykemast/_internal/operations/crash_table.py
+++ b/src/dykemast/_internal/operations/crash_table.py
@@ -1,47 +1,47 @@
-"""What one router knows of requests that end servers."""
+"""State of one router about requests that crash servers."""
 
 from typing import Final, NamedTuple
 
 from dykemast._internal.models.crashes import CrashRecord
 from dykemast._internal.operations.crash_sequences import CrashedRun
 
-#: Seconds for which the end of a server counts, and a run that cleared a
-#: request: about what it takes to roll a mended server out.
+#: Crashes and clearances expire after about the time that it takes to roll out
+#: a fixed server.
 CRASH_RETENTION_S: Final = 600.0
 
 
 class Crash:
-    """The end of one start of a server.
+    """The crash of one incarnation of a server.
 
-    :param ended_at: seconds on the steady clock.
-    :param service: that it served; empty when that is not known.
+    :param ended_at: seconds on the monotonic clock.
+    :param service: service of the server; empty if unknown.
     """
 
     def __init__(self, ended_at: float, service: str = '') -> None:
-        """Know of no request there."""
+        """Create a crash without suspects."""
         self.ended_at = ended_at
         self.service = service
-        #: Servers of that service that were there besides.
+        #: Number of other servers of the service at that time.
         self.others = 0
-        #: Whether it answered later on, so that it had not ended.
+        #: Whether the server answered later, so that it had not crashed.
         self.refuted = False
-        #: When the requests had been sent there that had just begun.
+        #: Send times of the requests that had just started.
         self.sent_at: dict[str, float] = {}
 
-    def read_end(self) -> float:
-        """Read when the server ended.
+    def end_time(self) -> float:
+        """Return the time of the crash.
 
-        :returns: seconds on the steady clock.
+        :returns: seconds on the monotonic clock.
         """
         return self.ended_at
 
 
 class QuarantineTerm(NamedTuple):
-    """A request that is not sent to servers.
+    """One quarantine of a request.
 
-    :param decided_at: seconds on the steady clock.
-    :param until: when it may be tried again.
-    :param terms: how often this was decided.
+    :param decided_at: seconds on the monotonic clock.
+    :param until: time from which the request may be tried again.
+    :param terms: number of times the request has been quarantined.
     """
 
     decided_at: float
@@ -50,60 +50,59 @@
 
 
 class CrashTable:
-    """Servers that ended, requests under suspicion and in quarantine.
+    """Crashed servers, suspect requests and quarantines.
 
-    Routers merge what they know by union: of the starts of servers that ended,
-    and of the requests that had just begun there. So an end counts once,
-    whoever tells of it and however often, and all come to the same counts.
+    Routers merge their tables as unions of the crashed incarnations and their
+    suspects. A crash counts once, however many routers report it, and all
+    routers arrive at the same counts.
     """
 
     def __init__(self) -> None:
-        """Know of nothing."""
-        #: By name of the server's start.
+        """Create an empty table."""
+        #: Crashes by incarnation name of the server.
         self.crashes: dict[str, Crash] = {}
-        #: When requests last ran to their end.
+        #: Times at which requests were last cleared.
         self.cleared: dict[str, float] = {}
-        #: Requests that are not sent.
+        #: Quarantines by request.
         self.quarantines: dict[str, QuarantineTerm] = {}
-        #: Runs of each request under which servers ended one after another;
-        #: made by ``crash_review``.
+        #: Crash sequences by request; ``crash_review`` updates them.
         self.crash_sequences: dict[str, list[CrashedRun]] = {}
-        #: What the store is known to hold of requests.
-        self.kept: dict[str, CrashRecord] = {}
-        #: When that was asked for that this router knows all of, from the
-        #: store or from a peer.
+        #: Records that the store is known to hold, by request.
+        self.stored_records: dict[str, CrashRecord] = {}
+        #: Time of the last request to the store or a peer that returned the
+        #: complete state.
         self.asked_at: float | None = None
 
     def is_complete(self, since: float) -> bool:
-        """Tell whether all was asked for since a moment.
+        """Check whether the complete state was read since a given time.
 
-        :param since: seconds; from when on others may have told more.
+        :param since: seconds; peers may have reported more from then on.
         :returns: whether it was.
         """
         return self.asked_at is not None and self.asked_at >= since
 
     def is_empty(self) -> bool:
-        """Tell whether nothing is known of any request.
+        """Check whether there are no suspects and no quarantines.
 
-        :returns: whether that is so.
+        :returns: whether the table lists no requests.
         """
         return not self.crash_sequences and not self.quarantines
 
     def count_crashes(self, request: str) -> int:
-        """Count the servers that ended under a request, one after another.
+        """Count the crashes in sequence under a request.
 
-        :param request: its digest.
-        :returns: how many.
+        :param request: digest of the request.
+        :returns: number of crashes.
         """
         return len(self.crash_sequences.get(request, ()))
 
     def get_quarantine_left(self, request: str, now: float) -> float | None:
-        """Measure for how long a request is still in quarantine.
+        """Return the time left of the quarantine of a request.
 
-        :param request: its digest.
-        :param now: seconds.
-        :returns: seconds; 0 when it is over and the next run decides; None
-            when there was none.
+        :param request: digest of the request.
+        :param now: seconds on the monotonic clock.
+        :returns: seconds; 0 if it has expired and the next run decides; None if
+            the request is not quarantined.
         """
         term = self.quarantines.get(request)
         return max(0, term.until - now) if term else None
--- a/src/dykemast/_internal/operations/request_identity.py
+++ b/src/dykemast/_internal/operations/request_identity.py
@@ -1,12 +1,12 @@
-"""Know a request again that is asked anew, at any router."""
+"""Digests that identify repeats of a request at any router."""
 
 import hashlib
 from typing import Final
 
 from dykemast._internal.models.caller_request import CallerRequest
 
-#: Bytes of the digest. 2^96 values cannot be steered to that of somebody
-#: else's request, and 16 characters are short enough for logs and news.
+#: With 2^96 values, a digest cannot be made to collide with that of another
+#: request, and 24 characters are short enough for logs and gossip.
 DIGEST_BYTES: Final = 12
 _LENGTH_BYTES: Final = 8
 
@@ -16,34 +16,34 @@
     workspace: str,
     body: bytes,
 ) -> str:
-    """Digest what makes two requests the same.
+    """Compute the digest of a request.
 
-    That is what a backend server runs, and for whom. The caller's id of one
-    attempt, its patience and the key that it used are not part of it.
+    The digest covers what a backend server runs, and for which workspace. It
+    excludes the caller's request id, its timeout and the key that it used.
 
     :param request: the request.
-    :param workspace: who asks; empty on a public route.
-    :param body: its body.
+    :param workspace: name of the workspace; empty on a public route.
+    :param body: body of the request.
     :returns: 24 hexadecimal digits.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     texts = (request.method, request.host, request.target, workspace)
     for part in (*(text.encode() for text in texts), body):
-        # Lengths keep what is in one part from counting for the next.
+        # The length prefix keeps part boundaries unambiguous.
         digest.update(len(part).to_bytes(_LENGTH_BYTES))
         digest.update(part)
     return digest.hexdigest()
 
 
 class RequestIdentity:
-    """The digest of one request, made when it is first asked for.
+    """The digest of one request, computed on first use.
 
-    It costs 8 us for 1 KB of body and 35 us for 12 KB (means of 20,000), which
-    requests only pay while some request is under suspicion.
+    A digest takes 8 us for a body of 1 KB and 35 us for 12 KB (means of
+    20,000). Requests incur this only while any request is a suspect.
 
     :param request: the request.
-    :param workspace: who asks; empty on a public route.
-    :param body: its body.
+    :param workspace: name of the workspace; empty on a public route.
+    :param body: body of the request.
     """
 
     def __init__(
@@ -52,14 +52,14 @@
         workspace: str,
         body: bytes,
     ) -> None:
-        """Digest nothing yet."""
+        """Keep the parts that the digest covers."""
         self._parts = (request, workspace, body)
         self._digest = ''
 
     def compute_digest(self) -> str:
-        """Read the digest.
+        """Return the digest, computing it on first use.
 
-        :returns: the same for a request that is asked anew.
+        :returns: the same digest for every repeat of the request.
         """
         if not self._digest:
             self._digest = digest_request(*self._parts)
--- a/src/dykemast/_internal/serving/admission/quarantine.py
+++ b/src/dykemast/_internal/serving/admission/quarantine.py
@@ -1,7 +1,8 @@
-"""Whether a request may be sent to servers, by what it did to others.
+"""Admission of requests by the crashes that they are suspected of.
 
-One request ended a dozen servers, each with the answers of up to two dozen
-others, as its caller asked again at one router after the other.
+In one incident a single request crashed a dozen servers, each with up to two
+dozen other responses in progress, because its caller repeated it at one router
+after another.
 """
 
 import contextlib
@@ -24,23 +25,22 @@
 from dykemast._internal.serving.state.quarantines import is_crash_table_current
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds after which a caller may come back while the same request, or one
-#: that is not told from it, runs alone: longer than a server that it ends takes
-#: to be noticed.
+#: Retry-after time while the same request, or a rival, is on trial. It exceeds
+#: the time to detect a crash.
 TRIAL_RETRY_S: Final = 1.0
-#: Rivals of a request that a log line names.
+#: Maximum number of rivals in a log line.
 MAX_RIVALS: Final = 8
-#: Seconds after which one may come back to a router that has just started, or
-#: woken up, and asks which requests are in quarantine.
+#: Retry-after time while a router that has just started, or resumed, reads the
+#: quarantines.
 STARTUP_RETRY_S: Final = 0.2
 
 
 def check_quarantine(board: ServingBoard, identity: RequestIdentity) -> None:
-    """Check that a request is not in quarantine.
+    """Refuse a request that is quarantined.
 
-    :param board: the blackboard.
-    :param identity: of the request.
-    :raises RefusedError: when it is.
+    :param board: shared state of the router.
+    :param identity: digest of the request.
+    :raises RefusedError: when the request is quarantined.
     """
     if not is_crash_table_current(board):
         details = {'instead': RefusalCode.quarantined.name}
@@ -48,20 +48,21 @@
     if board.crashes.is_empty():
         return
     request = identity.compute_digest()
-    held = _measure_hold(board, request)
+    held = _compute_hold_time(board, request)
     if held:
         raise _refuse(board, request, held)
 
 
-def _measure_hold(board: ServingBoard, request: str) -> float:
-    """Measure for how long a request has to stay away; 0 if it may go on."""
+def _compute_hold_time(board: ServingBoard, request: str) -> float:
+    """Compute the seconds for which a request is held back; 0 for none."""
     now = read_clock()
-    settling = compute_decision_delay(board.crashes, request, now)
+    decision_delay = compute_decision_delay(board.crashes, request, now)
     left = board.crashes.get_quarantine_left(request, now)
-    if settling or left is None:
-        return settling
+    if decision_delay or left is None:
+        return decision_delay
     if not left and not is_responsible(board, request):
-        # It is over: one router finds out whether it still ends servers.
+        # The quarantine has expired: one router tests whether the request still
+        # crashes servers.
         return TRIAL_RETRY_S
     return left
 
@@ -72,12 +73,12 @@
     identity: RequestIdentity,
     service: str,
 ) -> Iterator[None]:
-    """Let a request on that is not in quarantine, alone if it is on trial.
+    """Admit a request that is not quarantined; alone if it is on trial.
 
-    :param board: the blackboard.
-    :param identity: of the request.
-    :param service: name of the service that it is for.
-    :raises RefusedError: when it may not go on.
+    :param board: shared state of the router.
+    :param identity: digest of the request.
+    :param service: name of its service.
+    :raises RefusedError: when the request is not admitted.
     """
     check_quarantine(board, identity)
     if not is_on_trial(board, identity):
@@ -94,11 +95,11 @@
 
 
 def find_suspect_digest(board: ServingBoard, identity: RequestIdentity) -> str:
-    """Find out whether a server has ended under a request.
+    """Return the digest of a request that is a suspect.
 
-    :param board: the blackboard.
-    :param identity: of the request.
-    :returns: its digest; empty when none has.
+    :param board: shared state of the router.
+    :param identity: digest of the request.
+    :returns: the digest; empty if no server has crashed under the request.
     """
     if board.crashes.is_empty():
         return ''
--- a/src/dykemast/_internal/serving/admission/trials.py
+++ b/src/dykemast/_internal/serving/admission/trials.py
@@ -1,9 +1,9 @@
-"""Which requests run alone, so that the next end of a server decides.
+"""Trials: suspect requests that run alone, so that the next crash decides.
 
-Requests that broke off at the same ends are not told apart by these. Where
-each can have a server of its own they are sent to different ones; where not,
-they take turns at one router, so that a further end has one of them alone
-under it, and the others come to their end.
+Requests that were on the same crashed servers cannot be told apart. If each can
+have a server of its own, they are sent to different servers. Otherwise they
+take turns on one router, so that the next crash has only one of them as a
+suspect and the others complete.
 """
 
 from typing import Final
@@ -16,16 +16,17 @@
 from dykemast._internal.serving.state.board import ServingBoard, list_live_peers
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds since an end in which one router alone has these turns; later all
-#: have, as the callers of one may not ask for each request.
+#: Time since a crash during which a single router runs these trials. After that
+#: all routers do, since the callers of one router may not send each of the
+#: requests.
 EXCLUSIVE_TRIAL_S: Final = 10.0
 
 
 def is_on_trial(board: ServingBoard, identity: RequestIdentity) -> bool:
-    """Tell whether the next end of a server decides about a request.
+    """Check whether the next crash decides about a request.
 
-    :param board: the blackboard.
-    :param identity: of the request.
+    :param board: shared state of the router.
+    :param identity: digest of the request.
     :returns: whether it does.
     """
     if board.crashes.is_empty() and not board.broken.pending.is_set():
@@ -33,19 +34,19 @@
     request = identity.compute_digest()
     if request in board.crashes.quarantines:
         return True
-    # What broke off a moment ago may turn out to be the end of a server.
+    # A recent broken send may turn out to be a crash.
     known = board.crashes.crash_sequences.get(request, [])
     ends = find_crash_sequence([*known, *board.broken.list_runs(request)])
     return len(ends) >= TRIAL_CRASHES
 
 
 def may_start_trial(board: ServingBoard, request: str, service: str) -> bool:
-    """Tell whether a request on trial may be sent from here now.
+    """Check whether this router may send a request on trial now.
 
-    :param board: the blackboard.
-    :param request: its digest.
-    :param service: name of the service that it is for.
-    :returns: whether it may.
+    :param board: shared state of the router.
+    :param request: digest of the request.
+    :param service: name of its service.
+    :returns: whether it is allowed.
     """
     if request in board.trials:
         return False
@@ -54,19 +55,21 @@
         return True
     if not board.trials.isdisjoint(rivals):
         return False
-    return _is_over(board, request) or is_responsible(board, service)
+    return _is_overdue(board, request) or is_responsible(board, service)
 
 
-def is_responsible(board: ServingBoard, duty: str) -> bool:
-    """Tell whether this router has a duty that one router has.
+def is_responsible(board: ServingBoard, task: str) -> bool:
+    """Check whether this router owns a task.
 
-    :param board: the blackboard.
-    :param duty: its name.
-    :returns: whether it has.
+    Rendezvous hashing over the live routers assigns each task to one of them.
+
+    :param board: shared state of the router.
+    :param task: name of the task.
+    :returns: whether it is.
     """
     heard = [peer.card.instance for peer in list_live_peers(board)]
     own = board.settings.name
-    return choose_owner(duty, [own, *heard]) == own
+    return choose_owner(task, [own, *heard]) == own
 
 
 def _count_servers(board: ServingBoard, service: str) -> int:
@@ -74,6 +77,6 @@
     return len(servers - board.crashes.crashes.keys())
 
 
-def _is_over(board: ServingBoard, request: str) -> bool:
+def _is_overdue(board: ServingBoard, request: str) -> bool:
     sequence = board.crashes.crash_sequences[request]
     return read_clock() - sequence[-1].ended_at > EXCLUSIVE_TRIAL_S
--- a/src/dykemast/_internal/serving/knowledge/crash_objects.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the store that hold records of requests that end servers."""
+"""Store objects that hold records of requests that crash servers."""
 
 from typing import Final
 
@@ -14,16 +14,16 @@
 from dykemast._internal.platform.objects import ObjectStore
 from dykemast._internal.platform.store_types import StoreObject
 
-#: Kind of these objects; each has the name of its request.
+#: Kind of these objects. Each object is named after its request.
 RECORD_KIND: Final = 'dykemast-crashing-requests'
 
 
 async def write_record(store: ObjectStore, record: CrashRecord) -> None:
-    """Have the store keep a record, unless it holds more already.
+    """Write a record to the store, unless the store holds more already.
 
     :param store: the object store.
     :param record: the record.
-    :raises PlatformError: when it failed.
+    :raises PlatformError: when the write failed.
     """
     created = StoreObject(record.request, 0, encode_record(record))
     try:
@@ -40,5 +40,5 @@
     try:
         return decode_record(stored.name, stored.spec)
     except InvalidDataError:
-        # It is written over: nobody could read it.
+        # An unreadable object is overwritten.
         return None
--- a/src/dykemast/_internal/serving/knowledge/crash_records.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_records.py
@@ -1,4 +1,4 @@
-"""Records of requests that end servers, in the store."""
+"""Reading of crash records from the store."""
 
 import asyncio
 from typing import Final
@@ -23,18 +23,18 @@
 
 _log = make_logger('crashes')
 
-#: Seconds in which changes gather before they are read.
+#: Time for which changes are batched before they are read.
 WATCH_BATCH_S: Final = 0.1
-#: Seconds between two looks whether this router has to read.
+#: Interval of the check whether this router has to read the records.
 CHECK_INTERVAL_S: Final = 0.2
 _SOURCE: Final = 'store'
 
 
 def make_updater(board: ServingBoard) -> Updater:
-    """Make what follows these records.
+    """Create the updater that applies watched records.
 
-    :param board: the blackboard.
-    :returns: the follower.
+    :param board: shared state of the router.
+    :returns: the updater.
     """
 
     def apply_object(stored: StoreObject) -> None:
@@ -43,15 +43,16 @@
         review_crashes(board, _SOURCE)
 
     def remove_object(name: str) -> None:
-        # An operator lifts a quarantine so, and routers clear up.
-        board.crashes.kept.pop(name, None)
+        # Operators lift a quarantine this way, and routers remove stale
+        # records.
+        board.crashes.stored_records.pop(name, None)
         clear_request(board, name, _SOURCE)
 
     def ignore_object(_: str) -> None:
-        """Change nothing: what cannot be read says nothing of a request."""
+        """Ignore an unreadable object: it says nothing about a request."""
 
     def remove_missing(_: set[str]) -> None:
-        """Drop nothing: what was written meanwhile is not in a listing."""
+        """Keep all records: a listing lacks those written meanwhile."""
 
     def record_revision(revision: int) -> None:
         board.revisions[RECORD_KIND] = revision
@@ -73,13 +74,13 @@
     store: ObjectStore,
     updater: Updater,
 ) -> None:
-    """Read what the store keeps whenever this router was away, for ever.
+    """Read all records whenever this router was suspended; runs forever.
 
-    When all start for the first time there is nothing.
+    On the first start of the deployment there are none.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param store: the object store.
-    :param updater: takes the records.
+    :param updater: receives the records.
     """
     if board.settings.first_start:
         board.crashes.asked_at = read_clock()
--- a/src/dykemast/_internal/serving/knowledge/crash_writes.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_writes.py
@@ -1,4 +1,4 @@
-"""Have the store keep which requests end servers."""
+"""Writing of crash records to the store."""
 
 import asyncio
 from typing import Final
@@ -22,37 +22,39 @@
 
 _log = make_logger('crashes')
 
-#: Seconds between two looks at what has to be written: two ends of servers are
-#: some tenths apart, and the write itself takes some milliseconds.
+#: Interval of writes: crashes are some tenths of a second apart, and a write
+#: takes a few milliseconds.
 WRITE_INTERVAL_S: Final = 0.2
-#: Seconds to wait after a write that failed.
+#: Delay after a failed write.
 RETRY_DELAY_S: Final = 0.3
-#: Seconds after which the next router writes what the first has not.
+#: Time after which the next router writes what the previous one has not.
 WRITER_TAKEOVER_S: Final = 1.0
 
 
 async def write_records(board: ServingBoard, store: ObjectStore) -> None:
-    """Have the store keep what outlasts a loss of all routers, for ever.
+    """Write records so that they survive a loss of all routers; runs forever.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param store: the object store.
     """
-    since: dict[str, float] = {}
+    pending_since: dict[str, float] = {}
     while True:
         await asyncio.sleep(WRITE_INTERVAL_S)
-        # An end decides, and is forgotten, some time after it was noted.
+        # Crashes decide, and expire, some time after they were recorded.
         review_crashes(board, 'time')
         now = read_clock()
-        unkept = list_unsaved_records(board.crashes)
-        since = {one.request: since.get(one.request, now) for one in unkept}
-        for record in unkept:
-            if _has_turn(board, record, now - since[record.request]):
+        unsaved = list_unsaved_records(board.crashes)
+        pending_since = {
+            one.request: pending_since.get(one.request, now) for one in unsaved
+        }
+        for record in unsaved:
+            if _is_writer(board, record, now - pending_since[record.request]):
                 await _try_write(board, store, record)
         for request in list_stale_records(board.crashes):
             await _try_delete(board, store, request)
 
 
-def _has_turn(board: ServingBoard, record: CrashRecord, age: float) -> bool:
+def _is_writer(board: ServingBoard, record: CrashRecord, age: float) -> bool:
     heard = [peer.card.instance for peer in list_live_peers(board)]
     ranked = rank_owners(record.request, [board.settings.name, *heard])
     return ranked.index(board.settings.name) <= age / WRITER_TAKEOVER_S
@@ -73,7 +75,7 @@
         )
         await asyncio.sleep(RETRY_DELAY_S)
         return
-    board.crashes.kept[record.request] = record
+    board.crashes.stored_records[record.request] = record
     _log(
         'crash_record_written',
         same_as=record.request,
@@ -92,4 +94,4 @@
     except PlatformError as error:
         _log('crash_record_not_deleted', same_as=request, reason=str(error))
         return
-    board.crashes.kept.pop(request, None)
+    board.crashes.stored_records.pop(request, None)
--- a/src/dykemast/_internal/serving/process/crash_loops.py
+++ b/src/dykemast/_internal/serving/process/crash_loops.py
@@ -1,4 +1,4 @@
-"""Loops that find, keep and follow which requests end servers."""
+"""Loops that detect server crashes and store and follow their records."""
 
 from functools import partial
 
@@ -12,8 +12,8 @@
 def list_crash_loops(assembly: Assembly) -> list[BackgroundLoop]:
     """List these loops.
 
-    :param assembly: the parts of the program.
-    :returns: the loops; none runs yet.
+    :param assembly: shared components of the process.
+    :returns: the loops, not started.
     """
     board = assembly.parts.board
     store = assembly.upkeep.store
--- a/src/dykemast/_internal/serving/relay/__init__.py
+++ b/src/dykemast/_internal/serving/relay/__init__.py
@@ -1,5 +1,5 @@
-"""Serve a ticket: send it, once more where that is safe, pass answers on.
+"""Serving of admitted requests: sends, retries and delivery of responses.
 
-In: a ticket with its body. Out: the whole answer or whole events to the
-caller, or a refusal; tokens that it consumed are settled.
+Input: an admitted request with its body. Output: a complete response or
+complete events for the caller, or a refusal. Consumed tokens are settled.
 """
--- a/src/dykemast/_internal/serving/relay/attempts.py
+++ b/src/dykemast/_internal/serving/relay/attempts.py
@@ -1,4 +1,4 @@
-"""Send a request, and once more where that is safe."""
+"""Sends of a request, with retries where they are safe."""
 
 from collections.abc import Awaitable, Callable
 
@@ -27,10 +27,10 @@
 
 
 class Attempts:
-    """Sends of one request.
+    """The sends of one request.
 
     :param exchange: the request.
-    :param prepare: what a send needs besides a server.
+    :param prepare: called before each send.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         exchange: Exchange,
         prepare: Prepare | None = None,
     ) -> None:
-        """Send nothing yet."""
+        """Create the sends of a request; none is started."""
         self._exchange = exchange
         self._prepare = prepare
         self._parts = exchange.parts
@@ -51,28 +51,29 @@
     async def run(self, deliver: Deliver) -> None:
         """Send the request until it is delivered.
 
-        :param deliver: sends it to one server and passes the answer on.
-        :raises RefusedError: when it was not, and nothing more can be done.
+        :param deliver: sends the request to one server and delivers the
+            response.
+        :raises RefusedError: when delivery failed and no retry is possible.
         """
         allowance = get_retry_budget(self._parts, self._admitted.service.name)
         allowance.record_request(read_clock())
-        failure = await self._try(deliver, None)
+        failure = await self._send_once(deliver, None)
         while failure:
             if not may_retry(self._exchange, len(self.tried), failure):
                 raise self._refuse(failure)
-            failure = await self._try(deliver, failure)
+            failure = await self._send_once(deliver, failure)
 
-    async def _try(
+    async def _send_once(
         self,
         deliver: Deliver,
         before: UpstreamError | None,
     ) -> UpstreamError | None:
-        """Send once.
+        """Send the request once.
 
-        :returns: how it failed, or nothing.
+        :returns: the error of the send; None on success.
         """
         if self._prepare:
-            # May wait, so that it comes before what decides by what is known.
+            # May wait, so it precedes decisions that depend on current state.
             await self._prepare()
         try:
             server = await find_server(self._exchange, self.tried)
@@ -97,9 +98,9 @@
     ) -> RefusedError:
         details = {'tried': self.tried, 'reason': str(failure)}
         if not self.may_have_run:
-            return_time = compute_retry_after(self._exchange)
+            retry_after_s = compute_retry_after(self._exchange)
             return refused or RefusedError(
-                RefusalCode.no_server, details, return_time
+                RefusalCode.no_server, details, retry_after_s
             )
         if not has_time(self._admitted):
             return RefusedError(RefusalCode.too_late, details)
--- a/src/dykemast/_internal/serving/relay/crash_probes.py
+++ b/src/dykemast/_internal/serving/relay/crash_probes.py
@@ -1,7 +1,7 @@
-"""Ask whether backend servers are still there.
+"""Probes of backend servers.
 
-An end that all servers of a service share is nobody's fault, and those to which
-nothing was sent tell of theirs only when they are asked.
+A crash that all servers of a service share is not attributed to any request.
+Servers without requests reveal their crash only when probed.
 """
 
 import asyncio
@@ -19,22 +19,22 @@
 
 _log = make_logger('crashes')
 
-#: Seconds to wait for a connection to a server that may have ended: links take
-#: some milliseconds, and one that ended refuses at once.
+#: Connecting takes a few milliseconds, and the host of a crashed server refuses
+#: at once.
 PROBE_TIMEOUT_S: Final = 0.3
 
 
 async def probe_services(parts: Parts) -> None:
-    """Find out whether all servers ended of the services that lost one.
+    """Probe the services that lost a server, to detect a loss of all servers.
 
-    :param parts: parts of the program.
+    :param parts: shared components of the process.
     """
     for service in tuple(parts.board.broken.ended_at):
-        await _ask_others(parts, service)
+        await _probe_others(parts, service)
 
 
-async def _ask_others(parts: Parts, service: str) -> None:
-    """Ask one server after the other until one is there."""
+async def _probe_others(parts: Parts, service: str) -> None:
+    """Probe servers one by one until one answers."""
     board = parts.board
     servers = list_usable(board, service)
     random.shuffle(servers)
@@ -49,12 +49,12 @@
 
 
 async def probe_server(parts: Parts, server: BackendServer) -> None:
-    """Open a connection to a server; one that is refused shows that it ended.
+    """Open a connection to a server; a refusal shows that it crashed.
 
-    :param parts: parts of the program; takes note of a server that is absent.
+    :param parts: shared components of the process; records an absent server.
     :param server: the server.
     """
-    # Silence shows nothing: the link may be cut.
+    # A timeout proves nothing: a network partition causes it too.
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(PROBE_TIMEOUT_S):
             await _connect(parts, server)
--- a/src/dykemast/_internal/serving/relay/crash_recording.py
+++ b/src/dykemast/_internal/serving/relay/crash_recording.py
@@ -1,4 +1,4 @@
-"""Take note of servers that ended, and of requests that ran to their end."""
+"""Recording of server crashes and of runs that clear a request."""
 
 from typing import Final
 
@@ -27,9 +27,9 @@
 
 
 def record_healthy_run(board: ServingBoard, send: Send) -> None:
-    """Take note of a run that came to its end, or has begun well.
+    """Record a run that completed, or streamed events for a while.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param send: the send.
     """
     table = board.crashes
@@ -42,19 +42,19 @@
 
 
 def record_server_crash(board: ServingBoard, name: str, service: str) -> None:
-    """Take note that a server has ended.
+    """Record the crash of a server.
 
-    :param board: the blackboard.
-    :param name: name of its start.
-    :param service: that it served; empty when that is not known any more.
+    :param board: shared state of the router.
+    :param name: incarnation name of the server.
+    :param service: service of the server; empty if no longer known.
     """
-    sends = board.broken.take(name)
+    sends = board.broken.take_sends(name)
     if name in board.crashes.crashes and not sends:
         return
     now = read_clock()
     if sends and service:
         board.broken.record_server_crash(service, now)
-    crash = _describe_end(board, sends, ServerCrash(name, 0, (), service))
+    crash = _describe_crash(board, sends, ServerCrash(name, 0, (), service))
     _log(
         'server_ended',
         server=name,
@@ -67,12 +67,12 @@
         review_crashes(board, _SOURCE)
 
 
-def _describe_end(
+def _describe_crash(
     board: ServingBoard,
     sends: list[BrokenSend],
     crash: ServerCrash,
 ) -> ServerCrash:
-    """Describe an end by the sends that broke off then."""
+    """Describe a crash by the sends that broke with it."""
     now = read_clock()
     ended_at = min((one.broken_at for one in sends), default=now)
     return crash._replace(
@@ -80,7 +80,7 @@
         suspects=tuple(
             Suspect(one.request, now - one.sent_at)
             for one in sends
-            if one.had_just_begun()
+            if one.had_just_started()
         ),
         others=_count_others(board, crash, ended_at),
     )
@@ -91,7 +91,7 @@
     crash: ServerCrash,
     ended_at: float,
 ) -> int:
-    """Count the other servers of a service that were there just before."""
+    """Count the other servers of the service just before the crash."""
     crashes = board.crashes.crashes
     return sum(
         one.name not in crashes
--- a/src/dykemast/_internal/serving/relay/crash_watch.py
+++ b/src/dykemast/_internal/serving/relay/crash_watch.py
@@ -1,8 +1,8 @@
-"""Find out whether a server ended under a request.
+"""Detection of server crashes after broken connections.
 
-A connection that breaks off shows a broken answer, a cut link or a server
-that ended. Only the last counts: nobody listens at its address any more, here
-or for another router, or its entry names another start.
+A connection breaks because of a malformed response, a network partition or a
+server crash. Only the last one counts: the server refuses connections from this
+router or another one, or its entry names another incarnation.
 """
 
 import asyncio
@@ -20,11 +20,10 @@
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds between two looks. A server that is ended by a request is noticed
-#: before its caller asks again.
+#: Short enough to detect a crash before the caller repeats the request.
 CHECK_INTERVAL_S: Final = 0.1
-#: Seconds after a break in which its server is asked whether it is there; from
-#: then on its entry, and what others find, tell it without a connection.
+#: A server is probed for this long after a broken send. Later, its entry and
+#: reports from peers show whether it crashed, without a connection.
 PROBE_WINDOW_S: Final = 0.5
 
 
@@ -33,15 +32,15 @@
     send: Send,
     error: UpstreamError,
 ) -> None:
-    """Take note of a send that failed.
+    """Record a send that failed.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param send: the send.
-    :param error: how it failed.
+    :param error: the error of the send.
     """
     server = send.server
     if server.name in board.leaving:
-        # It ends as planned.
+        # This is a planned stop.
         return
     if error.absent:
         record_server_crash(board, server.name, server.service)
@@ -54,26 +53,26 @@
             send.event_at,
             now,
         )
-        board.broken.note(broken)
+        board.broken.record(broken)
 
 
 async def watch_breaks(parts: Parts) -> None:
-    """Find out which servers ended whose sends broke off, for ever.
+    """Detect crashes of the servers of broken sends; runs forever.
 
-    :param parts: parts of the program.
+    :param parts: shared components of the process.
     """
     broken = parts.board.broken
     while True:
         await broken.pending.wait()
-        last = broken.list_last()
-        looks = [_look(parts, name, at) for name, at in last.items()]
-        await asyncio.gather(*looks)
+        last = broken.list_last_breaks()
+        checks = [_check_server(parts, name, at) for name, at in last.items()]
+        await asyncio.gather(*checks)
         await probe_services(parts)
-        broken.forget(read_clock())
+        broken.prune(read_clock())
         await asyncio.sleep(CHECK_INTERVAL_S)
 
 
-async def _look(parts: Parts, name: str, broken_at: float) -> None:
+async def _check_server(parts: Parts, name: str, broken_at: float) -> None:
     server = parts.board.servers.get(name)
     if server and read_clock() - broken_at < PROBE_WINDOW_S:
         await probe_server(parts, server)
--- a/src/dykemast/_internal/serving/relay/dispatch.py
+++ b/src/dykemast/_internal/serving/relay/dispatch.py
@@ -1,4 +1,4 @@
-"""Serve a request that was let in, by the kind of its route."""
+"""Dispatch of admitted requests by the kind of their route."""
 
 from dykemast._internal.models.routing_table import RouteKind
 from dykemast._internal.serving.admission.checks import check_servers
@@ -11,10 +11,10 @@
     """Serve a request.
 
     :param exchange: the request.
-    :raises RefusedError: when it was not served whole.
+    :raises RefusedError: when the response was not delivered completely.
     """
     check_servers(exchange.parts.board, exchange.admitted)
-    # Before any tokens are held for it.
+    # Precedes the reservation of tokens.
     service = exchange.admitted.service.name
     with admit_request(exchange.parts.board, exchange.identity, service):
         if exchange.admitted.route.kind is RouteKind.stream:
--- a/src/dykemast/_internal/serving/relay/event_parser.py
+++ b/src/dykemast/_internal/serving/relay/event_parser.py
@@ -1,37 +1,42 @@
-"""Split a stream of events into whole events."""
+"""Splitting of an event stream into events."""
 
 from typing import Final
 
 from dykemast._internal.exceptions import UpstreamError
 
-#: Bytes of one event at most.
+#: Maximum size of one event.
 MAX_EVENT_BYTES: Final = 1_048_576
 _END: Final = b'\n\n'
 _ID: Final = b'id:'
 
 
 class EventParser:
-    """Keeps the bytes of an event that is not whole yet."""
+    """Buffers an event until it is complete."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create a parser with an empty buffer."""
         self._rest = b''
 
     def feed(self, chunk: bytes) -> list[bytes]:
-        """Take bytes of the stream.
+        """Parse a chunk of the stream.
 
-        :param chunk: the bytes.
-        :returns: events that are whole now, with the blank line at the end.
-        :raises UpstreamError: when an event is too long.
+        :param chunk: bytes of the stream.
+        :returns: the events completed by the chunk, each with its final blank
+            line.
+        :raises UpstreamError: when an event exceeds the maximum size.
         """
         events = (self._rest + chunk).split(_END)
         self._rest = events.pop()
         if len(self._rest) > MAX_EVENT_BYTES:
-            raise UpstreamError('an event is too long', sent=True)
+            raise UpstreamError(
+                f'event exceeds {MAX_EVENT_BYTES} bytes: '
+                f'got {len(self._rest)} bytes so far',
+                sent=True,
+            )
         return [event + _END for event in events]
 
     def has_partial_event(self) -> bool:
-        """Tell whether an event has begun and is not whole.
+        """Check whether an incomplete event is buffered.
 
         :returns: whether there is one.
         """
@@ -39,10 +44,10 @@
 
 
 def parse_event_id(event: bytes) -> str:
-    """Read the id of an event.
+    """Parse the id of an event.
 
     :param event: the event.
-    :returns: its id; empty when it has none.
+    :returns: the id; empty if the event has none.
     """
     for line in event.split(b'\n'):
         if line.startswith(_ID):
--- a/src/dykemast/_internal/serving/relay/event_relay.py
+++ b/src/dykemast/_internal/serving/relay/event_relay.py
@@ -1,4 +1,4 @@
-"""Pass events on to a caller, whole ones only."""
+"""Delivery of complete events to a caller."""
 
 from dykemast._internal.exceptions import UpstreamError
 from dykemast._internal.models.forwarding import ResponseHead
@@ -11,35 +11,35 @@
 
 
 class EventRelay:
-    """What a caller has got of a streamed answer.
+    """The part of a streamed response that was delivered to the caller.
 
-    :param responder: answers the caller.
+    :param responder: sends the response to the caller.
     """
 
     def __init__(self, responder: Responder) -> None:
-        """Pass nothing on yet."""
+        """Create a relay that has delivered nothing."""
         self._responder = responder
         self._parser = EventParser()
         self._head: ResponseHead | None = None
         self.events = 0
-        #: Id of the last event that was passed on; empty for none.
+        #: Id of the last delivered event; empty if there is none.
         self.last_event = ''
-        #: Seconds at which the first event was passed on.
+        #: Time at which the first event was delivered.
         self.first_at: float | None = None
 
     def begin(self, head: ResponseHead) -> None:
-        """Begin to read the answer of an engine, the first or another.
+        """Start to read the response of an engine, the first or a later one.
 
-        :param head: its head.
+        :param head: status and headers of the response.
         """
         self._parser = EventParser()
-        # A resumed stream keeps the head of its first engine.
+        # A resumed stream keeps the status and headers of its first engine.
         self._head = self._head or head
 
-    async def pass_chunk(self, chunk: bytes) -> bool:
-        """Pass on the events that are whole now.
+    async def forward_chunk(self, chunk: bytes) -> bool:
+        """Deliver the events that a chunk completes.
 
-        :param chunk: bytes of the answer.
+        :param chunk: bytes of the response.
         :returns: whether there were any.
         """
         whole = self._parser.feed(chunk)
@@ -54,21 +54,21 @@
         return True
 
     async def finish(self) -> None:
-        """End the answer.
+        """Finish the response.
 
-        :raises UpstreamError: when its last event is not whole.
+        :raises UpstreamError: when the last event is incomplete.
         """
         if self._parser.has_partial_event():
-            raise UpstreamError('the last event is not whole', sent=True)
+            raise UpstreamError('stream ended within an event', sent=True)
         await self._send_head()
         await self._responder.write(b'', more=False)
 
-    async def pass_failure(self, head: ResponseHead, body: bytes) -> None:
-        """Pass on the failure of an engine, if nothing was passed on yet.
+    async def forward_error(self, head: ResponseHead, body: bytes) -> None:
+        """Deliver the error response of an engine, unless delivery has begun.
 
-        :param head: head of its answer.
-        :param body: the rest of it.
-        :raises UpstreamError: when the caller has begun to read another.
+        :param head: status and headers of the response.
+        :param body: body of the response.
+        :raises UpstreamError: when another response has been partly delivered.
         """
         if self._responder.begun:
             raise UpstreamError(f'status {head.status}', sent=True)
--- a/src/dykemast/_internal/serving/relay/event_streams.py
+++ b/src/dykemast/_internal/serving/relay/event_streams.py
@@ -1,4 +1,4 @@
-"""Requests that are answered by a stream of events."""
+"""Requests that are answered by an event stream."""
 
 from typing import Final
 
@@ -18,18 +18,18 @@
     UpstreamResponse,
 )
 
-_FIRST_FAILURE: Final = 300
+_FIRST_ERROR_STATUS: Final = 300
 
 
 class EventStream:
-    """One streamed answer, which may go on at another engine.
+    """One streamed response, which another engine may resume.
 
     :param exchange: the request.
-    :param payment: holds the tokens that it may consume.
+    :param payment: reserves the tokens that the response may consume.
     """
 
     def __init__(self, exchange: Exchange, payment: Payment) -> None:
-        """Read nothing yet."""
+        """Create a stream; nothing is sent yet."""
         self._parts = exchange.parts
         self._admitted = exchange.admitted
         self._body = exchange.body
@@ -38,9 +38,9 @@
         self._payment = payment
 
     async def serve(self) -> None:
-        """Pass the answer on.
+        """Deliver the response.
 
-        :raises RefusedError: when it was not passed on whole.
+        :raises RefusedError: when the response was not delivered completely.
         """
         await self._attempts.run(self._deliver)
 
@@ -55,7 +55,8 @@
                 self._payment.usage.record_broken_stream()
             raise
         except BaseException:
-            # The caller left, or this process ends; the engine may go on.
+            # The caller disconnected, or this process is stopping; the engine
+            # may continue.
             self._attempts.may_have_run = True
             self._payment.usage.record_broken_stream()
             raise
@@ -67,23 +68,23 @@
         sending = make_upstream_request(self._admitted, self._body, send.server)
         sending = sending.resume_after(self.relay.last_event)
         async with self._parts.upstreams.send(sending) as answer:
-            # From here on it ran, also when the answer is a failure.
+            # The request has run, even if the response is an error.
             self._attempts.may_have_run = True
             self._payment.usage.record_start()
             record_prompt(self._parts, self._admitted, send.server)
-            if answer.head.status >= _FIRST_FAILURE:
-                await self._pass_failure(answer)
+            if answer.head.status >= _FIRST_ERROR_STATUS:
+                await self._forward_error(answer)
                 return
             self.relay.begin(answer.head)
             meter = PauseMeter(self._parts, self._admitted, send)
             async for chunk in answer.read_chunks(self._admitted.deadline):
-                if await self.relay.pass_chunk(chunk):
+                if await self.relay.forward_chunk(chunk):
                     prefill.end()
                     self._payment.usage.record_read(self.relay.events)
-                    meter.note_event()
+                    meter.record_event()
             await self.relay.finish()
             meter.log_end(self.relay.events)
 
-    async def _pass_failure(self, answer: UpstreamResponse) -> None:
+    async def _forward_error(self, answer: UpstreamResponse) -> None:
         whole = await answer.read_whole(self._admitted.deadline)
-        await self.relay.pass_failure(answer.head, whole)
+        await self.relay.forward_error(answer.head, whole)
--- a/src/dykemast/_internal/serving/relay/exchange.py
+++ b/src/dykemast/_internal/serving/relay/exchange.py
@@ -1,4 +1,4 @@
-"""A request that is being served, with all that serving it needs."""
+"""A request in progress with everything that serving it needs."""
 
 from typing import NamedTuple
 
@@ -9,13 +9,13 @@
 
 
 class Exchange(NamedTuple):
-    """A request that is being served.
+    """A request in progress.
 
-    :param parts: parts of the program.
+    :param parts: shared components of the process.
     :param admitted: the request.
-    :param body: its body.
-    :param responder: answers the caller.
-    :param identity: by which it is known again when it is asked anew.
+    :param body: body of the request.
+    :param responder: sends the response to the caller.
+    :param identity: digest that identifies repeats of the request.
     """
 
     parts: Parts
@@ -31,12 +31,12 @@
     body: bytes,
     responder: Responder,
 ) -> Exchange:
-    """Begin to serve a request.
+    """Create the exchange of an admitted request.
 
-    :param parts: parts of the program.
+    :param parts: shared components of the process.
     :param admitted: the request.
-    :param body: its body.
-    :param responder: answers the caller.
+    :param body: body of the request.
+    :param responder: sends the response to the caller.
     :returns: the exchange.
     """
     workspace = admitted.workspace.name if admitted.workspace else ''
--- a/src/dykemast/_internal/serving/relay/pauses.py
+++ b/src/dykemast/_internal/serving/relay/pauses.py
@@ -1,4 +1,4 @@
-"""Pauses between the events of one stream at one engine."""
+"""Pauses between the events of a stream from one engine."""
 
 from dykemast._internal.serving.parts import Parts
 from dykemast._internal.serving.relay.crash_recording import record_healthy_run
@@ -11,11 +11,11 @@
 
 
 class PauseMeter:
-    """Measures the pauses of one stream at one engine.
+    """Measures the pauses of one stream from one engine.
 
-    :param parts: parts of the program.
+    :param parts: shared components of the process.
     :param admitted: the request.
-    :param send: its send to the engine that answers it.
+    :param send: the send to that engine.
     """
 
     def __init__(
@@ -24,7 +24,7 @@
         admitted: AdmittedRequest,
         send: Send,
     ) -> None:
-        """Wait for the first event."""
+        """Create a meter that has seen no event."""
         self._board = parts.board
         self._pauses = parts.loads.pauses
         self._admitted = admitted
@@ -33,21 +33,21 @@
         self._last = float()
         self._longest = float()
 
-    def note_event(self) -> None:
-        """Note that an event has come."""
+    def record_event(self) -> None:
+        """Record the arrival of an event."""
         now = read_clock()
         if self._send.event_at is None:
             self._log_first(now)
         else:
             self._note_pause(now - self._last, now)
-        if self._send.note_event(now):
+        if self._send.record_event(now):
             record_healthy_run(self._board, self._send)
         self._last = now
 
     def log_end(self, events: int) -> None:
-        """Log what the stream was like, so that a late one can be explained.
+        """Log the timing of the stream, so that late streams can be explained.
 
-        :param events: passed on to the caller in all.
+        :param events: number of events delivered to the caller.
         """
         began = self._send.event_at or read_clock()
         _log(
@@ -60,7 +60,7 @@
         )
 
     def _log_first(self, now: float) -> None:
-        # From here on its caller has received tokens.
+        # From this event on, the caller has received tokens.
         _log(
             'first_event',
             request=self._admitted.request.request_id,
--- a/src/dykemast/_internal/serving/relay/payments.py
+++ b/src/dykemast/_internal/serving/relay/payments.py
@@ -1,4 +1,4 @@
-"""Tokens of one request: held before it is sent, charged when it has ended."""
+"""Tokens of one request: held before each send, charged at the end."""
 
 from dykemast._internal.operations.stream_usage import StreamUsage
 from dykemast._internal.serving.parts import Parts
@@ -14,14 +14,14 @@
 
 
 class Payment:
-    """What one request holds of its workspace's budget, if that has one.
+    """The tokens that one request holds of its workspace's budget, if any.
 
-    :param parts: parts of the program.
+    :param parts: shared components of the process.
     :param admitted: the request.
     """
 
     def __init__(self, parts: Parts, admitted: AdmittedRequest) -> None:
-        """Hold nothing yet."""
+        """Create a payment without held tokens."""
         self._parts = parts
         self._admitted = admitted
         self._holds: list[Hold] = []
@@ -33,9 +33,9 @@
         )
 
     async def hold(self) -> None:
-        """Hold what the request may consume; what is held already counts.
+        """Hold the tokens that the request may still consume.
 
-        :raises RefusedError: when there are not as many tokens.
+        :raises RefusedError: when the budget does not cover them.
         """
         workspace = self._admitted.workspace
         if workspace is None or workspace.prepaid is None:
@@ -50,10 +50,10 @@
         self._parts.metrics.tokens.add({'state': 'held'}, missing)
 
     async def hold_for_retry(self) -> None:
-        """Hold what one more engine may make of an answer that broke off.
+        """Hold the tokens that a retry on another engine may consume.
 
-        :raises RefusedError: when there are not as many tokens; it has run,
-            so that it is not refused as one that has not.
+        :raises RefusedError: when the budget does not cover them. The refusal
+            says that the request has run.
         """
         try:
             await self.hold()
@@ -62,7 +62,7 @@
             raise RefusedError(RefusalCode.upstream_failed, details) from error
 
     def settle(self) -> None:
-        """Charge what was consumed, and let the rest go."""
+        """Charge the consumed tokens and release the rest."""
         used = self.usage.count_used_tokens()
         left = used
         for held in self._holds:
@@ -74,7 +74,8 @@
             self._log_settled(used)
 
     def _log_settled(self, used: int) -> None:
-        # What a row in the store does not know yet when its router dies.
+        # If the router fails, the row in the store does not include these
+        # tokens yet.
         _log(
             'settled',
             request=self._admitted.request.request_id,
--- a/src/dykemast/_internal/serving/relay/plain_calls.py
+++ b/src/dykemast/_internal/serving/relay/plain_calls.py
@@ -13,17 +13,17 @@
     make_upstream_request,
 )
 
-#: Statuses from which a repeatable request may do better elsewhere.
-FIRST_SERVER_ERROR: Final = 500
+#: From this status on, a repeatable request may succeed on another server.
+FIRST_SERVER_ERROR_STATUS: Final = 500
 
 
-class _Whole(NamedTuple):
+class _Response(NamedTuple):
     head: ResponseHead
     body: bytes
 
 
 async def serve_plain(exchange: Exchange) -> None:
-    """Serve a request whose answer comes at once.
+    """Serve a request that is answered at once.
 
     :param exchange: the request.
     :raises RefusedError: when it is not served.
@@ -32,24 +32,24 @@
     attempts = Attempts(exchange)
 
     async def deliver(send: Send) -> None:
-        whole = await _fetch(exchange, send.server)
-        status = whole.head.status
+        response = await _fetch(exchange, send.server)
+        status = response.head.status
         may_repeat = len(attempts.tried) < admitted.route.max_workers
-        if status >= FIRST_SERVER_ERROR and may_repeat:
+        if status >= FIRST_SERVER_ERROR_STATUS and may_repeat:
             if admitted.is_repeatable():
                 raise UpstreamError(f'status {status}', sent=True)
-        headers = whole.head.headers
-        await exchange.responder.answer(status, headers, whole.body)
+        headers = response.head.headers
+        await exchange.responder.answer(status, headers, response.body)
 
     await attempts.run(deliver)
 
 
-async def _fetch(exchange: Exchange, server: BackendServer) -> _Whole:
+async def _fetch(exchange: Exchange, server: BackendServer) -> _Response:
     sending = make_upstream_request(exchange.admitted, exchange.body, server)
     loads = exchange.parts.loads.own
     with contextlib.ExitStack() as ending:
         loads.begin(server.name, 0)
         ending.callback(loads.end, server.name)
         async with exchange.parts.upstreams.send(sending) as answer:
-            whole = await answer.read_whole(exchange.admitted.deadline)
-            return _Whole(answer.head, whole)
+            response = await answer.read_whole(exchange.admitted.deadline)
+            return _Response(answer.head, response)
--- a/src/dykemast/_internal/serving/relay/prefill.py
+++ b/src/dykemast/_internal/serving/relay/prefill.py
@@ -1,4 +1,4 @@
-"""Prompts that engines read."""
+"""Prefill of prompts by engines."""
 
 from dykemast._internal.models.backend import BackendServer
 from dykemast._internal.serving.parts import Parts
@@ -19,7 +19,7 @@
 
 
 class Prefill:
-    """The reading of a prompt by an engine, which ends once."""
+    """The prefill of one prompt by an engine, which ends once."""
 
     def __init__(self, parts: Parts, server: str, unread: int) -> None:
         self._loads = parts.loads.own
@@ -28,6 +28,6 @@
         self._loads.begin(server, unread)
 
     def end(self) -> None:
-        """Note the end; later calls do nothing."""
+        """Record the end of the prefill; later calls do nothing."""
         self._loads.end_prefill(self._server, self._unread)
         self._unread = 0
--- a/src/dykemast/_internal/serving/relay/retries.py
+++ b/src/dykemast/_internal/serving/relay/retries.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent once more, or when its caller may come back."""
+"""Retry rules, and retry-after times for callers."""
 
 import math
 import random
@@ -13,52 +13,53 @@
 from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds that have to be left for another try to make sense.
+#: A retry with less time left would not complete.
 MIN_TIME_LEFT_S: Final = 0.05
-#: Servers tried for one request at most, those included that were not there:
-#: a few times what routes allow.
+#: Maximum number of servers tried for one request, including servers that
+#: refused the connection: several times what routes allow.
 MAX_SENDS: Final = 5
-#: Seconds after which a caller is told to come back at least, and times by
-#: which it may be told to come back later than a server may get its request.
+#: Bounds of the retry-after time: its minimum, and the largest factor by which
+#: it may exceed the time until a server can take the request.
 MIN_RETRY_AFTER_S: Final = 0.01
 MAX_RETRY_AFTER_FACTOR: Final = 1.25
 
 
 def may_retry(exchange: Exchange, sends: int, error: UpstreamError) -> bool:
-    """Tell whether a request may be sent once more.
+    """Check whether a request may be sent again.
 
     :param exchange: the request.
-    :param sends: how often it was sent.
-    :param error: how the last send failed.
-    :returns: whether it may.
+    :param sends: number of sends so far.
+    :param error: the error of the last send.
+    :returns: whether a retry is allowed.
     """
     if not _is_allowed(exchange, sends, error):
         return False
     if error.unconnected:
-        # Nothing arrived anywhere, so there is nothing to repeat.
+        # No server received the request, so this is not a repeat.
         return True
     return _spend_allowance(exchange)
 
 
 def has_time(admitted: AdmittedRequest) -> bool:
-    """Tell whether another try makes sense.
+    """Check whether enough time is left for a retry.
 
     :param admitted: the request.
-    :returns: whether it does.
+    :returns: whether there is.
     """
     return admitted.deadline - read_clock() >= MIN_TIME_LEFT_S
 
 
 def compute_retry_after(exchange: Exchange) -> float:
-    """Measure when a caller may come back whose request no server takes now.
+    """Compute the retry-after time when no server can take a request.
 
     :param exchange: the request.
-    :returns: seconds until a server may get it, where all are held back.
+    :returns: seconds until a server may take it, if all are held back for some
+        time.
     """
     wait = compute_min_wait(exchange.parts, exchange.admitted)
     if not wait or math.isinf(wait):
         return NO_SERVER_RETRY_S
-    # All who wait for that moment would else come back together.
+    # Jitter: otherwise all callers that wait for that moment return together.
     return max(wait, MIN_RETRY_AFTER_S) * random.uniform(
         1, MAX_RETRY_AFTER_FACTOR
     )
@@ -69,7 +70,8 @@
     if error.sent and not admitted.is_repeatable():
         return False
     if error.broken and is_on_trial(exchange.parts.board, exchange.identity):
-        # One more server may end under it: its caller has to ask anew.
+        # A retry may crash another server. The caller has to repeat the
+        # request.
         return False
     return has_time(admitted) and _has_sends_left(admitted, sends, error)
 
@@ -78,7 +80,7 @@
     admitted: AdmittedRequest, sends: int, error: UpstreamError
 ) -> bool:
     if error.unconnected or error.absent:
-        # The server that was meant did not get it.
+        # The chosen server did not receive the request.
         return sends < MAX_SENDS
     return sends < admitted.route.max_workers
 
--- a/src/dykemast/_internal/serving/relay/send_outcomes.py
+++ b/src/dykemast/_internal/serving/relay/send_outcomes.py
@@ -1,4 +1,4 @@
-"""Take note of what a send came to."""
+"""Recording of the outcomes of sends."""
 
 from dykemast._internal.exceptions import BackpressureError, UpstreamError
 from dykemast._internal.serving.choice.outcomes import (
@@ -15,7 +15,7 @@
 
 
 def record_success(exchange: Exchange, send: Send) -> None:
-    """Take note of an answer that was passed on whole.
+    """Record a response that was delivered completely.
 
     :param exchange: the request.
     :param send: the send.
@@ -29,14 +29,14 @@
     send: Send,
     error: UpstreamError,
 ) -> None:
-    """Take note of a send that failed.
+    """Record a send that failed.
 
     :param exchange: the request.
     :param send: the send.
-    :param error: how it failed.
+    :param error: the error of the send.
     """
     if not isinstance(error, BackpressureError):
-        # Not a failure of the server.
+        # This router held the send back, so the server did not fail.
         record_outcome(exchange.parts, send.server, failed=True)
     record_broken_send(exchange.parts.board, send, error)
     if error.absent:
--- a/src/dykemast/_internal/serving/relay/sends.py
+++ b/src/dykemast/_internal/serving/relay/sends.py
@@ -19,9 +19,9 @@
 class Send:
     """A send that may be in progress.
 
-    :param server: the server that has the request.
-    :param sent_at: seconds on the clock.
-    :param identity: of the request.
+    :param server: the server that receives the request.
+    :param sent_at: seconds on the monotonic clock.
+    :param identity: digest of the request.
     """
 
     def __init__(
@@ -30,35 +30,35 @@
         sent_at: float,
         identity: RequestIdentity,
     ) -> None:
-        """Wait for the first event."""
+        """Create a send without events."""
         self.server = server
         self.sent_at = sent_at
         self.identity = identity
-        #: When its first event came.
+        #: Time of the first event.
         self.event_at: float | None = None
-        #: Whether events have come for a while.
-        self.began_well = False
+        #: Whether events have been arriving for a while.
+        self.is_healthy = False
 
-    def note_event(self, now: float) -> bool:
-        """Note that an event has come.
+    def record_event(self, now: float) -> bool:
+        """Record the arrival of an event.
 
-        :param now: seconds on the clock.
-        :returns: whether this shows, for the first time, that the request does
-            not end a server that begins to run it.
+        :param now: seconds on the monotonic clock.
+        :returns: whether this event is the first to show that the request does
+            not crash a server that starts to run it.
         """
         if self.event_at is None:
             self.event_at = now
         is_first = (
-            not self.began_well and now - self.event_at > SUSPECT_WINDOW_S
+            not self.is_healthy and now - self.event_at > SUSPECT_WINDOW_S
         )
-        self.began_well = self.began_well or is_first
+        self.is_healthy = self.is_healthy or is_first
         return is_first
 
     def describe_break(self, error: UpstreamError) -> dict[str, Any]:
-        """Describe what tells whether the request ended its server.
+        """Describe the evidence that the request crashed its server.
 
-        :param error: how the send failed.
-        :returns: fields for the log; none when no connection broke.
+        :param error: the error of the send.
+        :returns: log fields; empty unless the connection broke.
         """
         if not error.broken:
             return {}
@@ -74,12 +74,12 @@
 def log_send(
     parts: Parts, admitted: AdmittedRequest, send: Send, nth: int
 ) -> None:
-    """Log a send, and what made this server the one to choose.
+    """Log a send and the state that led to the choice of the server.
 
-    :param parts: parts of the program.
+    :param parts: shared components of the process.
     :param admitted: the request.
     :param send: the send.
-    :param nth: which of the request's sends it is.
+    :param nth: number of this send of the request, from 1.
     """
     server = send.server.name
     load = compute_load(parts.loads, server, send.sent_at)
--- a/src/dykemast/_internal/serving/relay/server_search.py
+++ b/src/dykemast/_internal/serving/relay/server_search.py
@@ -1,4 +1,4 @@
-"""Find the backend server that a request is sent to next."""
+"""Search for the backend server of the next send."""
 
 import asyncio
 from collections.abc import Iterable, Sequence
@@ -17,31 +17,32 @@
 from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
 from dykemast._internal.utils.clock import read_clock
 
-#: Part of its objective that a request waits at most: served after it, it is
-#: still in time, and refused then, its caller may still be in time elsewhere.
+#: Maximum share of the latency objective that a request waits. A request that
+#: is served after the wait is still in time, and the caller of a refused one
+#: may still be in time elsewhere.
 MAX_WAIT_SHARE: Final = 0.25
-#: Seconds that each step of urgency looks later: who is more urgent and waits
-#: for the same moment goes first.
+#: Extra wait per priority step, so that the more urgent of several requests
+#: that wait for the same moment goes first.
 PRIORITY_STEP_S: Final = 0.01
 
 
 class ServerWait:
-    """How long one request waits where each server is held back for a while.
+    """The time that one request waits while all servers are held back.
 
-    :param parts: parts of the program.
+    :param parts: shared components of the process.
     :param admitted: the request.
     """
 
     def __init__(self, parts: Parts, admitted: AdmittedRequest) -> None:
-        """Wait from now on."""
+        """Start the wait now."""
         self._parts = parts
         self._admitted = admitted
         self._until = read_clock() + MAX_WAIT_SHARE * admitted.route.objective
 
-    def measure(self, tried: Iterable[str]) -> float:
-        """Measure when to look for a server again.
+    def compute_wait(self, tried: Iterable[str]) -> float:
+        """Compute the time until the next search.
 
-        :param tried: servers that had it before.
+        :param tried: servers that were tried before.
         :returns: seconds; 0 when waiting does not help.
         """
         wait = candidates.compute_min_wait(self._parts, self._admitted, tried)
@@ -53,27 +54,29 @@
     exchange: Exchange,
     tried: Sequence[str],
 ) -> BackendServer:
-    """Find a server; where none is free, wait for one as long as that serves.
+    """Find a server; if none is free, wait as long as the objective allows.
 
-    Each look asks once more for what others may have told since.
+    Each search uses the latest reports from peers.
 
     :param exchange: the request.
-    :param tried: servers that had it before.
-    :returns: a server that gets it now.
+    :param tried: servers that were tried before.
+    :returns: a server that can take the request now.
     :raises RefusedError: when there is none.
     """
     server_wait = ServerWait(exchange.parts, exchange.admitted)
     while True:
-        server = _look(exchange, tried)
+        server = _choose_server(exchange, tried)
         if server:
             return server
-        wait = server_wait.measure(tried)
+        wait = server_wait.compute_wait(tried)
         if not wait:
             raise _refuse(exchange, tried)
         await asyncio.sleep(wait)
 
 
-def _look(exchange: Exchange, tried: Sequence[str]) -> BackendServer | None:
+def _choose_server(
+    exchange: Exchange, tried: Sequence[str]
+) -> BackendServer | None:
     board = exchange.parts.board
     checks.check_evacuations(board)
     quarantine.check_quarantine(board, exchange.identity)
@@ -87,5 +90,5 @@
     parts = exchange.parts
     halls = checks.describe_restrictions(parts.board, exchange.admitted)
     details = {'tried': tried, **halls}
-    return_time = compute_retry_after(exchange)
-    return RefusedError(RefusalCode.no_server, details, return_time)
+    retry_after_s = compute_retry_after(exchange)
+    return RefusedError(RefusalCode.no_server, details, retry_after_s)
--- a/src/dykemast/_internal/serving/relay/stream_requests.py
+++ b/src/dykemast/_internal/serving/relay/stream_requests.py
@@ -1,4 +1,4 @@
-"""Streamed requests, paid for out of their workspace's budget."""
+"""Streamed requests that are paid from the budget of their workspace."""
 
 import contextlib
 
@@ -10,10 +10,10 @@
 
 
 async def serve_stream(exchange: Exchange) -> None:
-    """Serve a request that is answered by a stream of events.
+    """Serve a request that is answered by an event stream.
 
     :param exchange: the request.
-    :raises RefusedError: when it is not served whole.
+    :raises RefusedError: when the response was not delivered completely.
     """
     parts, admitted = exchange.parts, exchange.admitted
     payment = Payment(parts, admitted)
--- a/src/dykemast/_internal/serving/state/quarantines.py
+++ b/src/dykemast/_internal/serving/state/quarantines.py
@@ -1,4 +1,4 @@
-"""Requests in quarantine: reviewed when something is taken note of."""
+"""Quarantine state of a router, updated after each new report."""
 
 from dykemast._internal.models.crashes import CrashGossip
 from dykemast._internal.operations import crash_gossip
@@ -12,10 +12,10 @@
 
 
 def review_crashes(board: ServingBoard, source: str) -> None:
-    """Review which requests are in quarantine, and log what is new.
+    """Update the quarantines and log what changed.
 
-    :param board: the blackboard.
-    :param source: who told what was taken note of.
+    :param board: shared state of the router.
+    :param source: origin of the last report.
     """
     table = board.crashes
     if not table.crashes and not table.quarantines and not board.quarantined:
@@ -30,11 +30,11 @@
 
 
 def clear_request(board: ServingBoard, request: str, source: str) -> None:
-    """Clear a request of all that is known of it.
+    """Clear a request of all crashes.
 
-    :param board: the blackboard.
-    :param request: its digest.
-    :param source: who says that it ends no server.
+    :param board: shared state of the router.
+    :param request: digest of the request.
+    :param source: origin of the report that the request crashes no server.
     """
     if clear_suspect(board.crashes, request, read_clock()):
         _log('request_cleared', same_as=request, source=source)
@@ -42,23 +42,23 @@
 
 
 def build_crash_gossip(board: ServingBoard) -> CrashGossip:
-    """Tell others what is known of requests that end servers.
+    """Build the crash report for peers.
 
-    :param board: the blackboard.
-    :returns: the news.
+    :param board: shared state of the router.
+    :returns: the report.
     """
     message = crash_gossip.build_crash_gossip(board.crashes, read_clock())
     return message._replace(complete=is_crash_table_current(board))
 
 
 def is_crash_table_current(board: ServingBoard) -> bool:
-    """Tell whether this router has asked for all since it was last away.
+    """Check whether the crash table is complete since the last suspension.
 
-    What others have told while its process stood still, or before it was
-    started, has not arrived here.
+    Reports that peers sent before this process started, or while it was
+    suspended, were not received.
 
-    :param board: the blackboard.
-    :returns: whether it has.
+    :param board: shared state of the router.
+    :returns: whether it is.
     """
     return board.crashes.is_complete(board.watch.find_last_resume(read_clock()))
 
@@ -68,11 +68,11 @@
     message: CrashGossip,
     asked_at: float,
 ) -> None:
-    """Take note of a peer's answer to this router.
+    """Record that a peer answered a request of this router.
 
-    :param board: the blackboard.
-    :param message: what it told, and is taken already.
-    :param asked_at: seconds at which it was asked.
+    :param board: shared state of the router.
+    :param message: crash report in the response, already merged.
+    :param asked_at: time of the request, in seconds.
     """
     if message.complete:
         board.crashes.asked_at = asked_at
@@ -81,11 +81,11 @@
 def apply_crash_gossip(
     board: ServingBoard, message: CrashGossip, source: str
 ) -> None:
-    """Take what a peer tells of requests that end servers.
+    """Merge a crash report from a peer.
 
-    :param board: the blackboard.
-    :param message: the news.
-    :param source: the peer.
+    :param board: shared state of the router.
+    :param message: the report.
+    :param source: name of the peer.
     """
     if crash_gossip.apply_crash_gossip(board.crashes, message, read_clock()):
         review_crashes(board, source)
--- a/tests/lib/trial_world.py
+++ b/tests/lib/trial_world.py
@@ -1,4 +1,4 @@
-"""Routers that all know of two ends of the only server of a service."""
+"""Routers that all know of two crashes of the only server of a service."""
 
 import itertools
 from contextlib import ExitStack, suppress
@@ -15,11 +15,10 @@
 
 SERVICE = 'llm'
 ROUTERS = 5
-#: Seconds since the last end, and between two.
-AGO = 2.0
-PAUSE = 3.0
-#: Seconds for which both had been under way.
-RUN_TIME = 1.0
+LAST_CRASH_AGE_S = 2.0
+CRASH_INTERVAL_S = 3.0
+#: Run time of both requests before each crash.
+RUN_TIME_S = 1.0
 PAIR = (
     identities.make_identity(),
     identities.make_identity(target='/b'),
@@ -28,36 +27,37 @@
 Requests = tuple[RequestIdentity, ...]
 
 
-def note_end(board: ServingBoard, age: float, present: Requests) -> None:
-    """Note an end of the only server."""
+def record_crash_of(board: ServingBoard, age: float, present: Requests) -> None:
+    """Record a crash of the only server."""
     names = [one.compute_digest() for one in present]
-    suspects = tuple(Suspect(name, age + RUN_TIME) for name in names)
+    suspects = tuple(Suspect(name, age + RUN_TIME_S) for name in names)
     crash = ServerCrash(f'server-{age}', age, suspects, SERVICE)
     record_crash(board.crashes, crash, read_clock())
 
 
-def make_all(
-    ago: float = AGO, ends: tuple[Requests, Requests] = (PAIR, PAIR)
+def make_routers(
+    ago: float = LAST_CRASH_AGE_S,
+    ends: tuple[Requests, Requests] = (PAIR, PAIR),
 ) -> list[ServingBoard]:
-    """Make routers that all know of two ends, by who was there."""
+    """Make routers that all know of two crashes with the given suspects."""
     boards = serving_boards.make_boards(ROUTERS)
     for board in boards:
         board.crashes.asked_at = read_clock()
-        note_end(board, ago + PAUSE, ends[0])
-        note_end(board, ago, ends[1])
+        record_crash_of(board, ago + CRASH_INTERVAL_S, ends[0])
+        record_crash_of(board, ago, ends[1])
         review_suspects(board.crashes, read_clock())
     return boards
 
 
-def list_begun(
+def list_admitted(
     stack: ExitStack,
     boards: list[ServingBoard],
     requests: Requests = PAIR,
 ) -> list[str]:
-    """Begin what is let on anywhere, until the stack is closed."""
-    begun = []
+    """Start every request that any router admits, until the stack closes."""
+    admitted = []
     for board, identity in itertools.product(boards, requests):
         with suppress(RefusedError):
             stack.enter_context(admit_request(board, identity, SERVICE))
-            begun.append(identity.compute_digest())
-    return begun
+            admitted.append(identity.compute_digest())
+    return admitted
--- a/tests/unit/test_crash_news.py
+++ b/tests/unit/test_crash_news.py
@@ -1,8 +1,8 @@
-"""Routers come to the same knowledge of requests that end servers.
+"""Routers reach the same state about requests that crash servers.
 
-An end counts once, whoever tells of it and however often: a count at each
-router, or a sum of what they tell, would have let 18 servers end with six
-routers, or condemned an innocent request that three of them told of.
+A crash counts once, however many routers report it. Separate counts per router
+would let six routers lose 18 servers, and a sum of the reported counts would
+quarantine an innocent request that three routers report.
 """
 
 import random
@@ -33,64 +33,68 @@
 )
 from dykemast._internal.utils.packing import FAST_COMPRESSION, pack
 
-#: Seconds that news are under way.
-TRANSIT = 0.01
-#: Bytes of news that a crowd of crashes may add to those of one round.
+#: Delivery time of a report.
+TRANSIT_S = 0.01
+#: Bytes that a large number of crashes may add to one gossip message.
 MAX_BYTES = 6000
 
 
-def note_end(table: CrashTable, server: str, now: float) -> None:
+def record_one_crash(table: CrashTable, server: str, now: float) -> None:
     crash = ServerCrash(server, 0, (Suspect('a', 0.2),), 'llm', 8)
     record_crash(table, crash, now)
     review_suspects(table, now)
 
 
-def tell(teller: CrashTable, hearer: CrashTable, now: float) -> None:
-    told = crash_gossip.build_crash_gossip(teller, now)
-    if crash_gossip.apply_crash_gossip(hearer, told, now + TRANSIT):
-        review_suspects(hearer, now + TRANSIT)
+def send_gossip(sender: CrashTable, receiver: CrashTable, now: float) -> None:
+    told = crash_gossip.build_crash_gossip(sender, now)
+    if crash_gossip.apply_crash_gossip(receiver, told, now + TRANSIT_S):
+        review_suspects(receiver, now + TRANSIT_S)
 
 
-def spread(tables: list[CrashTable], now: float, rounds: int) -> float:
-    """Have each router tell three others in each round, as they do."""
-    chance = random.Random(1)
+def run_gossip_rounds(
+    tables: list[CrashTable], now: float, rounds: int
+) -> float:
+    """Let each router send reports to three others in each round."""
+    rng = random.Random(1)
     for _ in range(rounds):
         now += 0.2
-        for teller in tables:
-            for hearer in chance.sample(tables, min(3, len(tables))):
-                tell(teller, hearer, now)
+        for sender in tables:
+            for receiver in rng.sample(tables, min(3, len(tables))):
+                send_gossip(sender, receiver, now)
     return now
 
 
-def test_ends_at_three_routers_condemn_at_all_within_two_seconds() -> None:
-    # 3 s are given; the last end settles for 1.5 s.
+def test_crashes_at_three_routers_quarantine_at_all_within_two_seconds() -> (
+    None
+):
+    # Of the 3 s that are allowed, the last crash takes 1.5 s to decide.
     for count in (3, 8, 75, 195):
         tables = [CrashTable() for _ in range(count)]
         for place in range(3):
-            note_end(tables[place], f'server-{place}', 100 + place)
-        now = spread(tables, 102, 8)
+            record_one_crash(tables[place], f'server-{place}', 100 + place)
+        now = run_gossip_rounds(tables, 102, 8)
         assert now < 102 + 2
         for table in tables:
             review_suspects(table, now)
         assert all('a' in table.quarantines for table in tables), count
 
 
-def test_an_end_that_many_tell_of_counts_once() -> None:
+def test_a_crash_that_many_routers_report_counts_once() -> None:
     tables = [CrashTable() for _ in range(6)]
     for table in tables:
-        note_end(table, 'server', 100)
-    spread(tables, 100, 4)
+        record_one_crash(table, 'server', 100)
+    run_gossip_rounds(tables, 100, 4)
     assert {table.count_crashes('a') for table in tables} == {1}
 
 
-def test_who_is_cleared_at_one_router_is_cleared_at_all() -> None:
+def test_a_request_cleared_at_one_router_is_cleared_at_all() -> None:
     tables = [CrashTable() for _ in range(6)]
     for place in range(3):
-        note_end(tables[0], f'server-{place}', 100 + place)
-    now = spread(tables, 103, 4)
+        record_one_crash(tables[0], f'server-{place}', 100 + place)
+    now = run_gossip_rounds(tables, 103, 4)
     clear_suspect(tables[5], 'a', now)
     review_suspects(tables[5], now)
-    now = spread(tables, now, 6)
+    now = run_gossip_rounds(tables, now, 6)
     for table in tables:
         review_suspects(table, now)
     assert not any('a' in table.quarantines for table in tables)
@@ -101,7 +105,7 @@
     return tuple(Suspect(one, 0.2) for one in names)
 
 
-def test_news_of_many_crashes_are_bounded() -> None:
+def test_reports_of_many_crashes_are_bounded() -> None:
     table = CrashTable()
     for server in range(500):
         suspects = make_suspects(server)
@@ -115,14 +119,14 @@
 
 def find_record(table: CrashTable) -> CrashRecord:
     records = list_unsaved_records(table)
-    assert records, 'the store has to keep it'
+    assert records, 'no record to store'
     return records[0]
 
 
-def test_what_the_store_keeps_outlasts_a_loss_of_all_routers() -> None:
+def test_stored_records_survive_a_loss_of_all_routers() -> None:
     before = CrashTable()
     for place in range(3):
-        note_end(before, f'server-{place}', 100 + place)
+        record_one_crash(before, f'server-{place}', 100 + place)
     review_suspects(before, 102 + DECISION_DELAY_S)
     after = CrashTable()
     apply_record(after, find_record(before), 7)
@@ -131,36 +135,36 @@
     assert not list_unsaved_records(after)
 
 
-def test_two_ends_before_a_loss_and_one_after_it_condemn() -> None:
+def test_two_crashes_before_a_loss_and_one_after_it_quarantine() -> None:
     before = CrashTable()
     for place in range(2):
-        note_end(before, f'server-{place}', 100 + place)
+        record_one_crash(before, f'server-{place}', 100 + place)
     after = CrashTable()
     apply_record(after, find_record(before), 7)
-    note_end(after, 'server-2', 8)
+    record_one_crash(after, 'server-2', 8)
     assert review_suspects(after, 8 + DECISION_DELAY_S) == ['a']
 
 
-def test_ends_in_the_store_and_in_news_are_the_same_ends() -> None:
+def test_a_crash_in_the_store_and_in_a_report_counts_once() -> None:
     before = CrashTable()
     for place in range(2):
-        note_end(before, f'server-{place}', 100 + place)
+        record_one_crash(before, f'server-{place}', 100 + place)
     record = find_record(before)
     table = CrashTable()
     apply_record(table, record, 102)
-    tell(before, table, 102)
+    send_gossip(before, table, 102)
     apply_record(table, record, 103)
     review_suspects(table, 103)
     assert table.count_crashes('a') == 2
 
 
-def test_one_end_alone_is_not_worth_a_write() -> None:
+def test_a_single_crash_is_not_stored() -> None:
     table = CrashTable()
-    note_end(table, 'server', 100)
+    record_one_crash(table, 'server', 100)
     assert not list_unsaved_records(table)
 
 
-def test_what_counts_no_more_is_removed_from_the_store() -> None:
+def test_expired_records_are_removed_from_the_store() -> None:
     table = CrashTable()
     apply_record(table, CrashRecord('a', ('x', 'y'), 0), 100)
     review_suspects(table, 100)
@@ -169,38 +173,40 @@
     assert list_stale_records(table) == ['a']
 
 
-def end_only_server(table: CrashTable, name: str, now: float) -> None:
+def crash_only_server(table: CrashTable, name: str, now: float) -> None:
     both = (Suspect('slow', 0.2), Suspect('crash', 0.1))
     record_crash(table, ServerCrash(name, 0, both, 'shop'), now)
     review_suspects(table, now)
 
 
-def test_a_record_does_not_quarantine_who_was_there_each_time() -> None:
-    # A service with one server, where a slow question is always under way
-    # beside the request that ends it. While both are known to be there, neither
-    # is told from the other; what the store keeps names one alone, and that one
-    # was quarantined after its third end, for 10 minutes, at all routers.
+def test_a_record_does_not_quarantine_a_co_suspect() -> None:
+    # A service has one server, and a slow request always runs beside the
+    # request that crashes it. While both are known as suspects, neither is
+    # quarantined. If the stored record named only the slow request, that one
+    # would be quarantined after the third crash, for 10 minutes, at all
+    # routers.
     before = CrashTable()
-    end_only_server(before, 'server-0', 100)
-    end_only_server(before, 'server-1', 102)
+    crash_only_server(before, 'server-0', 100)
+    crash_only_server(before, 'server-1', 102)
     slow = [
         one for one in list_unsaved_records(before) if one.request == 'slow'
     ]
     after = CrashTable()
     apply_record(after, slow[0], 7)
-    end_only_server(after, 'server-2', 8)
+    crash_only_server(after, 'server-2', 8)
     review_suspects(after, 8 + DECISION_DELAY_S)
     assert 'slow' not in after.quarantines
 
 
-def test_records_that_share_servers_tell_of_the_same_ends() -> None:
-    # The record of the slow question was read first, and the guilty one's row,
-    # one end longer, was cut to two: the slow one alone had three then.
+def test_records_that_share_servers_keep_the_longer_sequence() -> None:
+    # If the older record of the slow request, read first, cut the longer
+    # sequence of the crashing one to two crashes, the slow request alone would
+    # have three.
     before = CrashTable()
-    end_only_server(before, 'server-0', 100)
-    end_only_server(before, 'server-1', 102)
+    crash_only_server(before, 'server-0', 100)
+    crash_only_server(before, 'server-1', 102)
     first = {one.request: one for one in list_unsaved_records(before)}
-    end_only_server(before, 'server-2', 104)
+    crash_only_server(before, 'server-2', 104)
     crash = {one.request: one for one in list_unsaved_records(before)}['crash']
     after = CrashTable()
     apply_record(after, first['slow'], 7)
--- a/tests/unit/test_crash_objects.py
+++ b/tests/unit/test_crash_objects.py
@@ -1,4 +1,4 @@
-"""What the store tells of requests that end servers, and what it does not."""
+"""Effects of crash records that are read from the store."""
 
 from typing import Any
 
@@ -34,12 +34,12 @@
     assert board.quarantined == {NAME}
     take(board, make_object(), removed=True)
     assert not board.quarantined
-    # Read once more, as it was before: it stays lifted.
+    # An older copy of the record does not restore the quarantine.
     take(board, make_object(), removed=False)
     assert not board.quarantined
 
 
-def test_what_cannot_be_read_neither_quarantines_nor_lifts() -> None:
+def test_an_invalid_record_neither_quarantines_nor_lifts() -> None:
     for wrong in ({'servers': 5}, {'terms': 'x'}, {'request': 'other'}):
         board = make_board()
         take(board, make_object(**wrong), removed=False)
@@ -49,17 +49,17 @@
         assert board.quarantined == {NAME}
 
 
-def test_a_router_that_stood_still_asks_anew() -> None:
+def test_a_suspended_router_is_not_current() -> None:
     board = make_board()
     assert not is_crash_table_current(board)
     board.crashes.asked_at = read_clock()
     assert is_crash_table_current(board)
-    # The loop has not run for longer than others need to tell something.
+    # The event loop was suspended for longer than peers need to send reports.
     board.watch.note(read_clock() - 5)
     assert not is_crash_table_current(board)
 
 
-def test_a_listing_lifts_nothing_that_is_missing_in_it() -> None:
+def test_a_listing_lifts_no_missing_record() -> None:
     board = make_board()
     take(board, make_object(), removed=False)
     following = crash_records.make_updater(board)
--- a/tests/unit/test_quarantine_gate.py
+++ b/tests/unit/test_quarantine_gate.py
@@ -1,7 +1,7 @@
-"""What a request meets that has ended servers, before it is sent.
+"""Admission of a request that has crashed servers.
 
-While nobody knew which request it was, each router let it on whenever it was
-asked, several at once, and repeated it at a second server by itself.
+Before the crashing request is known, each router would admit every repeat of
+it, several at once, and retry it on a second server by itself.
 """
 
 from collections.abc import Iterator
@@ -25,13 +25,13 @@
 SERVICE = 'llm'
 
 
-def know_all(board: ServingBoard) -> ServingBoard:
+def mark_current(board: ServingBoard) -> ServingBoard:
     board.crashes.asked_at = read_clock()
     return board
 
 
-def note_ends(board: ServingBoard, count: int, ago: float = 2) -> None:
-    """Note servers that ended one after another under the request."""
+def record_crashes(board: ServingBoard, count: int, ago: float = 2) -> None:
+    """Record servers that crashed in sequence under the request."""
     now = read_clock()
     suspects = (Suspect(make_identity().compute_digest(), ago + 0.1),)
     for place in range(count):
@@ -47,19 +47,19 @@
 
 @contextmanager
 def expect_refusal(code: refusals.RefusalCode) -> Iterator[list[float]]:
-    """Expect a refusal, and tell after what time to come back."""
-    told: list[float] = []
+    """Expect a refusal and yield its retry-after time."""
+    retry_times: list[float] = []
     try:
-        yield told
+        yield retry_times
     except refusals.RefusedError as error:
         assert error.code is code
         assert error.retry_after
-        told.append(error.retry_after)
+        retry_times.append(error.retry_after)
         return
-    raise AssertionError('it was let on')
+    raise AssertionError('the request was admitted')
 
 
-def test_the_same_request_is_known_by_what_a_server_runs() -> None:
+def test_the_digest_covers_what_a_server_runs() -> None:
     same = make_identity(request_id='other', key='second', timeout_s='1')
     assert same.compute_digest() == make_identity().compute_digest()
     others = (
@@ -75,81 +75,81 @@
     assert same.compute_digest() not in digests
 
 
-def test_a_router_that_does_not_know_yet_lets_nothing_on() -> None:
+def test_a_router_that_is_not_current_admits_nothing() -> None:
     board = make_board()
     with expect_refusal(refusals.RefusalCode.not_current):
         quarantine.check_quarantine(board, make_identity())
-    quarantine.check_quarantine(know_all(board), make_identity())
+    quarantine.check_quarantine(mark_current(board), make_identity())
 
 
 def test_a_request_in_quarantine_is_refused_and_others_are_not() -> None:
-    board = know_all(make_board())
-    note_ends(board, 3)
-    with expect_refusal(refusals.RefusalCode.quarantined) as told:
+    board = mark_current(make_board())
+    record_crashes(board, 3)
+    with expect_refusal(refusals.RefusalCode.quarantined) as retry_times:
         quarantine.check_quarantine(board, make_identity())
-    assert QUARANTINE_S - 60 < told[0] <= QUARANTINE_S
+    assert QUARANTINE_S - 60 < retry_times[0] <= QUARANTINE_S
     quarantine.check_quarantine(board, make_identity(target='/b'))
 
 
-def test_it_stays_away_while_its_third_end_settles() -> None:
-    board = know_all(make_board())
-    note_ends(board, 3, ago=-0.5)
-    with expect_refusal(refusals.RefusalCode.quarantined) as told:
+def test_a_request_is_held_back_during_the_decision_delay() -> None:
+    board = mark_current(make_board())
+    record_crashes(board, 3, ago=-0.5)
+    with expect_refusal(refusals.RefusalCode.quarantined) as retry_times:
         quarantine.check_quarantine(board, make_identity())
-    assert told[0] < DECISION_DELAY_S
+    assert retry_times[0] < DECISION_DELAY_S
 
 
-def test_after_two_ends_it_runs_alone() -> None:
-    board = know_all(make_board())
-    note_ends(board, 2)
+def test_after_two_crashes_a_request_runs_alone() -> None:
+    board = mark_current(make_board())
+    record_crashes(board, 2)
     identity = make_identity()
     with quarantine.admit_request(board, identity, SERVICE):
         assert trials.is_on_trial(board, identity)
         with expect_refusal(refusals.RefusalCode.quarantined):
             with quarantine.admit_request(board, identity, SERVICE):
-                raise AssertionError('two at once')
+                raise AssertionError('two runs at the same time')
     with quarantine.admit_request(board, identity, SERVICE):
         assert board.trials
 
 
-def test_a_send_that_just_broke_off_counts_before_its_cause_is_known() -> None:
-    board = know_all(make_board())
-    note_ends(board, 1)
+def test_a_broken_send_counts_before_its_cause_is_known() -> None:
+    board = mark_current(make_board())
+    record_crashes(board, 1)
     identity = make_identity()
     assert not trials.is_on_trial(board, identity)
     now = read_clock()
-    board.broken.note(
+    board.broken.record(
         BrokenSend('server', identity.compute_digest(), now, None, now)
     )
     assert trials.is_on_trial(board, identity)
 
 
-def test_sends_that_broke_off_at_one_moment_count_as_one_end() -> None:
-    board = know_all(make_board())
+def test_simultaneous_broken_sends_count_as_one_crash() -> None:
+    board = mark_current(make_board())
     identity = make_identity()
     first = BrokenSend('a', identity.compute_digest(), 10, None, 11)
     for server in 'aabc':
-        board.broken.note(first._replace(server=server))
+        board.broken.record(first._replace(server=server))
     assert not trials.is_on_trial(board, identity)
-    board.broken.note(first._replace(sent_at=12, broken_at=13))
+    board.broken.record(first._replace(sent_at=12, broken_at=13))
     assert trials.is_on_trial(board, identity)
 
 
-def test_when_a_quarantine_is_over_one_router_alone_tries() -> None:
-    boards = [know_all(board) for board in make_boards(5)]
-    let_on = 0
+def test_after_a_quarantine_one_router_alone_tries() -> None:
+    boards = [mark_current(board) for board in make_boards(5)]
+    admitted = 0
     for board in boards:
-        note_ends(board, 3)
+        record_crashes(board, 3)
         request = make_identity().compute_digest()
         term = board.crashes.quarantines[request]
         board.crashes.quarantines[request] = term._replace(
             until=read_clock() - 1
         )
-        let_on += is_let_on(board)
-    assert let_on == 1
+        admitted += is_admitted(board)
+    assert admitted == 1
 
 
-def is_let_on(board: ServingBoard) -> bool:
+def is_admitted(board: ServingBoard) -> bool:
     try:
         quarantine.check_quarantine(board, make_identity())
     except refusals.RefusedError:
--- a/tests/unit/test_trial_fuzz.py
+++ b/tests/unit/test_trial_fuzz.py
@@ -1,4 +1,4 @@
-"""Of requests that ends do not tell apart, one alone is at the only server."""
+"""One suspect of the same crashes at a time runs on the only server."""
 
 from contextlib import ExitStack
 
@@ -6,10 +6,10 @@
 from hypothesis import strategies as st
 
 from tests.lib.identities import make_identity
-from tests.lib.trial_world import ROUTERS, Requests, list_begun, make_all
+from tests.lib.trial_world import ROUTERS, Requests, list_admitted, make_routers
 
 REQUESTS = tuple(make_identity(target=f'/{name}') for name in 'abcd')
-PRESENT = st.sets(st.sampled_from(REQUESTS)).map(tuple)
+SUSPECTS = st.sets(st.sampled_from(REQUESTS)).map(tuple)
 
 
 def find_common(first: Requests, last: Requests) -> set[str]:
@@ -17,17 +17,17 @@
     return {one.compute_digest() for one in common}
 
 
-@given(st.tuples(PRESENT, PRESENT), st.permutations(REQUESTS).map(tuple))
-def test_of_those_that_were_at_both_ends_one_alone_is_at_the_server(
+@given(st.tuples(SUSPECTS, SUSPECTS), st.permutations(REQUESTS).map(tuple))
+def test_one_suspect_of_both_crashes_runs_at_a_time(
     ends: tuple[Requests, Requests], asked: Requests
 ) -> None:
     with ExitStack() as stack:
-        begun = list_begun(stack, make_all(ends=ends), asked)
+        admitted = list_admitted(stack, make_routers(ends=ends), asked)
     suspects = find_common(*ends)
-    on_trial = [name for name in begun if name in suspects]
+    on_trial = [name for name in admitted if name in suspects]
     if len(suspects) > 1:
         assert len(on_trial) == 1
     else:
         assert len(on_trial) == ROUTERS * len(suspects)
     innocent = len(REQUESTS) - len(suspects)
-    assert len(begun) == len(on_trial) + ROUTERS * innocent
+    assert len(admitted) == len(on_trial) + ROUTERS * innocent
