--- a/src/dykemast/_internal/models/crashes.py
+++ b/src/dykemast/_internal/models/crashes.py
@@ -93,13 +93,13 @@
     terms: int
     beside: tuple[tuple[str, ...], ...] = ()
 
-    def list_suspects(self, place: int) -> tuple[str, ...]:
+    def list_suspects(self, index: int) -> tuple[str, ...]:
         """List the requests that may have crashed one of the servers.
 
-        :param place: index of the server.
+        :param index: index of the server.
         :returns: digests of the requests.
         """
-        others = self.beside[place] if place < len(self.beside) else ()
+        others = self.beside[index] if index < len(self.beside) else ()
         return (self.request, *others)
 
     def covers(self, other: 'CrashRecord') -> bool:
@@ -120,6 +120,6 @@
         """
         return {
             (server, suspect)
-            for place, server in enumerate(self.servers)
-            for suspect in self.list_suspects(place)
+            for index, server in enumerate(self.servers)
+            for suspect in self.list_suspects(index)
         }
--- a/src/dykemast/_internal/operations/crash_evidence.py
+++ b/src/dykemast/_internal/operations/crash_evidence.py
@@ -20,12 +20,12 @@
     :param now: seconds on the monotonic clock.
     :returns: whether the report contained anything new.
     """
-    fresh = Crash(now - crash.age, crash.service)
-    known = table.crashes.setdefault(crash.server, fresh)
+    reported = Crash(now - crash.age, crash.service)
+    known = table.crashes.setdefault(crash.server, reported)
     if crash.suspects and not known.sent_at:
         # So far only a refused connection indicated the crash. That may be
         # late, or it may date from before the server started to listen.
-        known.ended_at = fresh.ended_at
+        known.ended_at = reported.ended_at
     known.others = max(known.others, crash.others)
     refuted = crash.refuted and not known.refuted
     known.refuted = known.refuted or crash.refuted
@@ -69,7 +69,7 @@
     crash: ServerCrash,
     now: float,
 ) -> bool:
-    before = set(known.sent_at)
+    previous = set(known.sent_at)
     for suspect in crash.suspects:
         # The first of several sends may have caused the crash, and it was
         # running before any crash that a later send appears to follow.
@@ -79,7 +79,7 @@
     if len(known.sent_at) > MAX_SUSPECTS:
         ranked = rank_suspects(table, known)
         known.sent_at = {name: known.sent_at[name] for name in ranked}
-    return not before.issuperset(known.sent_at)
+    return not previous.issuperset(known.sent_at)
 
 
 def rank_suspects(
--- a/src/dykemast/_internal/operations/crash_persistence.py
+++ b/src/dykemast/_internal/operations/crash_persistence.py
@@ -87,5 +87,5 @@
 
 
 def _is_stored(table: CrashTable, record: CrashRecord) -> bool:
-    stored_records = table.stored_records.get(record.request)
-    return stored_records is not None and stored_records.covers(record)
+    stored = table.stored_records.get(record.request)
+    return stored is not None and stored.covers(record)
--- a/src/dykemast/_internal/operations/crash_records.py
+++ b/src/dykemast/_internal/operations/crash_records.py
@@ -62,22 +62,22 @@
     now: float,
 ) -> Iterator[ServerCrash]:
     ended_at = -math.inf
-    for place, server in enumerate(record.servers):
+    for index, server in enumerate(record.servers):
         known = table.crashes.get(server)
         if known:
             # Records of two requests may share servers. Both must use the same
             # time for a crash, or the longer of the two sequences is cut short.
             ended_at = known.ended_at
         else:
-            assumed_at = now - (len(record.servers) - place)
+            assumed_at = now - (len(record.servers) - index)
             ended_at = max(assumed_at, (ended_at + now) / 2)
-        yield _make_crash(record, place, now - ended_at)
+        yield _make_crash(record, index, now - ended_at)
 
 
-def _make_crash(record: CrashRecord, place: int, age: float) -> ServerCrash:
-    suspects = record.list_suspects(place)
+def _make_crash(record: CrashRecord, index: int, age: float) -> ServerCrash:
+    suspects = record.list_suspects(index)
     return ServerCrash(
-        record.servers[place],
+        record.servers[index],
         age,
         tuple(Suspect(request, age) for request in suspects),
     )
--- a/src/dykemast/_internal/operations/crash_retention.py
+++ b/src/dykemast/_internal/operations/crash_retention.py
@@ -57,7 +57,5 @@
 ) -> list[str]:
     """Find items older than a limit, and the oldest beyond a count."""
     newest = sorted(times, key=times.__getitem__, reverse=True)
-    stored_records = [
-        name for name in newest[:max_count] if times[name] >= limit
-    ]
-    return newest[len(stored_records) :]
+    retained = [name for name in newest[:max_count] if times[name] >= limit]
+    return newest[len(retained) :]
--- a/src/dykemast/_internal/operations/crash_review.py
+++ b/src/dykemast/_internal/operations/crash_review.py
@@ -48,7 +48,8 @@
     crashing = [
         request
         for request in table.crash_sequences
-        if _is_crashing(table, request) and _is_settled(table, request, now)
+        if _is_crashing(table, request)
+        and _is_decision_due(table, request, now)
     ]
     for request in crashing:
         _quarantine(table, request, now)
@@ -79,7 +80,7 @@
     return QUARANTINE_S * 2 ** min(MAX_DOUBLINGS, terms - 1)
 
 
-def _is_settled(table: CrashTable, request: str, now: float) -> bool:
+def _is_decision_due(table: CrashTable, request: str, now: float) -> bool:
     return now >= _find_decisive_time(table, request) + DECISION_DELAY_S
 
 
@@ -104,10 +105,12 @@
         return sequence[-1].ended_at > term.until
     if len(sequence) < QUARANTINE_CRASHES:
         return False
-    present = {
+    suspects_by_server = {
         run.server: list_suspects_at(table, run.server) for run in sequence
     }
-    unexplained = count_unexplained(request, table.crash_sequences, present)
+    unexplained = count_unexplained(
+        request, table.crash_sequences, suspects_by_server
+    )
     return unexplained >= UNEXPLAINED_CRASHES
 
 
--- a/src/dykemast/_internal/operations/crash_runs.py
+++ b/src/dykemast/_internal/operations/crash_runs.py
@@ -54,9 +54,9 @@
     """
     rivals: set[str] = set()
     for run in table.crash_sequences.get(request, ()):
-        present = list_suspects_at(table, run.server)
-        if table.quarantines.keys().isdisjoint(present):
-            rivals.update(present)
+        suspects = list_suspects_at(table, run.server)
+        if table.quarantines.keys().isdisjoint(suspects):
+            rivals.update(suspects)
     rivals.discard(request)
     return {one for one in rivals if table.count_crashes(one) >= TRIAL_CRASHES}
 
@@ -79,12 +79,13 @@
     """
     if not crash.others:
         return False
-    at_once = sum(
-        _crashed_together(crash, other) and not _is_after(request, crash, other)
+    simultaneous = sum(
+        _crashed_together(crash, other)
+        and not _was_sent_after_crash(request, crash, other)
         for other in table.crashes.values()
         if other is not crash
     )
-    return at_once >= crash.others
+    return simultaneous >= crash.others
 
 
 def _crashed_together(crash: Crash, other: Crash) -> bool:
@@ -93,7 +94,7 @@
     return abs(other.ended_at - crash.ended_at) <= SIMULTANEOUS_WINDOW_S
 
 
-def _is_after(request: str, crash: Crash, other: Crash) -> bool:
+def _was_sent_after_crash(request: str, crash: Crash, other: Crash) -> bool:
     """Check whether a request was sent to one server after the other crashed.
 
     A request that ran on both servers may have crashed both.
--- a/src/dykemast/_internal/operations/crash_sequences.py
+++ b/src/dykemast/_internal/operations/crash_sequences.py
@@ -54,20 +54,21 @@
 def count_unexplained(
     request: str,
     crash_sequences: Mapping[str, list[CrashedRun]],
-    present: Mapping[str, Iterable[str]],
+    suspects_by_server: Mapping[str, Iterable[str]],
 ) -> int:
     """Count the crashes that no other request explains equally well.
 
     :param request: digest of the request.
     :param crash_sequences: crash sequences of all requests.
-    :param present: requests that had just started on each crashed server.
+    :param suspects_by_server: requests that had just started on each crashed
+        server.
     :returns: number of crashes attributed to the request alone.
     """
     own = len(crash_sequences[request])
     return sum(
         all(
             len(crash_sequences.get(other, ())) < own
-            for other in present[run.server]
+            for other in suspects_by_server[run.server]
             if other != request
         )
         for run in crash_sequences[request]
--- a/src/dykemast/_internal/operations/crash_table.py
+++ b/src/dykemast/_internal/operations/crash_table.py
@@ -71,7 +71,7 @@
         self.stored_records: dict[str, CrashRecord] = {}
         #: Time of the last request to the store or a peer that returned the
         #: complete state.
-        self.asked_at: float | None = None
+        self.requested_at: float | None = None
 
     def is_complete(self, since: float) -> bool:
         """Check whether the complete state was read since a given time.
@@ -79,7 +79,7 @@
         :param since: seconds; peers may have reported more from then on.
         :returns: whether it was.
         """
-        return self.asked_at is not None and self.asked_at >= since
+        return self.requested_at is not None and self.requested_at >= since
 
     def is_empty(self) -> bool:
         """Check whether there are no suspects and no quarantines.
--- a/src/dykemast/_internal/serving/admission/quarantine.py
+++ b/src/dykemast/_internal/serving/admission/quarantine.py
@@ -48,23 +48,23 @@
     if board.crashes.is_empty():
         return
     request = identity.compute_digest()
-    held = _compute_hold_time(board, request)
-    if held:
-        raise _refuse(board, request, held)
+    hold_time = _compute_hold_time(board, request)
+    if hold_time:
+        raise _refuse(board, request, hold_time)
 
 
 def _compute_hold_time(board: ServingBoard, request: str) -> float:
     """Compute the seconds for which a request is held back; 0 for none."""
     now = read_clock()
     decision_delay = compute_decision_delay(board.crashes, request, now)
-    left = board.crashes.get_quarantine_left(request, now)
-    if decision_delay or left is None:
+    remaining = board.crashes.get_quarantine_left(request, now)
+    if decision_delay or remaining is None:
         return decision_delay
-    if not left and not is_responsible(board, request):
+    if not remaining and not is_responsible(board, request):
         # The quarantine has expired: one router tests whether the request still
         # crashes servers.
         return TRIAL_RETRY_S
-    return left
+    return remaining
 
 
 @contextlib.contextmanager
--- a/src/dykemast/_internal/serving/admission/trials.py
+++ b/src/dykemast/_internal/serving/admission/trials.py
@@ -36,8 +36,10 @@
         return True
     # A recent broken send may turn out to be a crash.
     known = board.crashes.crash_sequences.get(request, [])
-    ends = find_crash_sequence([*known, *board.broken.list_runs(request)])
-    return len(ends) >= TRIAL_CRASHES
+    extended_sequence = find_crash_sequence(
+        [*known, *board.broken.list_runs(request)]
+    )
+    return len(extended_sequence) >= TRIAL_CRASHES
 
 
 def may_start_trial(board: ServingBoard, request: str, service: str) -> bool:
@@ -67,9 +69,9 @@
     :param task: name of the task.
     :returns: whether it is.
     """
-    heard = [peer.card.instance for peer in list_live_peers(board)]
+    live_peers = [peer.card.instance for peer in list_live_peers(board)]
     own = board.settings.name
-    return choose_owner(task, [own, *heard]) == own
+    return choose_owner(task, [own, *live_peers]) == own
 
 
 def _count_servers(board: ServingBoard, service: str) -> int:
--- a/src/dykemast/_internal/serving/knowledge/crash_objects.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_objects.py
@@ -30,13 +30,13 @@
         await store.write(RECORD_KIND, created)
     except VersionConflictError as conflict:
         stored = conflict.current
-        known = _decode_known(stored)
+        known = _decode_stored(stored)
         if known is None or not known.covers(record):
             replaced = created._replace(revision=stored.revision)
             await store.write(RECORD_KIND, replaced)
 
 
-def _decode_known(stored: StoreObject) -> CrashRecord | None:
+def _decode_stored(stored: StoreObject) -> CrashRecord | None:
     try:
         return decode_record(stored.name, stored.spec)
     except InvalidDataError:
--- a/src/dykemast/_internal/serving/knowledge/crash_records.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_records.py
@@ -83,23 +83,23 @@
     :param updater: receives the records.
     """
     if board.settings.first_start:
-        board.crashes.asked_at = read_clock()
+        board.crashes.requested_at = read_clock()
     while True:
         if not is_crash_table_current(board):
-            await _read(board, store, updater)
+            await _list_records(board, store, updater)
         await asyncio.sleep(CHECK_INTERVAL_S)
 
 
-async def _read(
+async def _list_records(
     board: ServingBoard,
     store: ObjectStore,
     updater: Updater,
 ) -> None:
-    asked_at = read_clock()
+    requested_at = read_clock()
     try:
         listing = await store.list_kind(RECORD_KIND)
     except PlatformError as error:
         _log('crash_records_not_read', reason=str(error))
         return
     apply_listing(updater, listing)
-    board.crashes.asked_at = asked_at
+    board.crashes.requested_at = requested_at
--- a/src/dykemast/_internal/serving/knowledge/crash_writes.py
+++ b/src/dykemast/_internal/serving/knowledge/crash_writes.py
@@ -55,8 +55,8 @@
 
 
 def _is_writer(board: ServingBoard, record: CrashRecord, age: float) -> bool:
-    heard = [peer.card.instance for peer in list_live_peers(board)]
-    ranked = rank_owners(record.request, [board.settings.name, *heard])
+    live_peers = [peer.card.instance for peer in list_live_peers(board)]
+    ranked = rank_owners(record.request, [board.settings.name, *live_peers])
     return ranked.index(board.settings.name) <= age / WRITER_TAKEOVER_S
 
 
--- a/src/dykemast/_internal/serving/relay/attempts.py
+++ b/src/dykemast/_internal/serving/relay/attempts.py
@@ -6,7 +6,7 @@
 from dykemast._internal.serving.choice.outcomes import get_retry_budget
 from dykemast._internal.serving.relay.exchange import Exchange
 from dykemast._internal.serving.relay.retries import (
-    has_time,
+    has_time_left,
     may_retry,
     compute_retry_after,
 )
@@ -102,6 +102,6 @@
             return refused or RefusedError(
                 RefusalCode.no_server, details, retry_after_s
             )
-        if not has_time(self._admitted):
+        if not has_time_left(self._admitted):
             return RefusedError(RefusalCode.too_late, details)
         return RefusedError(RefusalCode.upstream_failed, details)
--- a/src/dykemast/_internal/serving/relay/event_relay.py
+++ b/src/dykemast/_internal/serving/relay/event_relay.py
@@ -42,15 +42,15 @@
         :param chunk: bytes of the response.
         :returns: whether there were any.
         """
-        whole = self._parser.feed(chunk)
-        if not whole:
+        complete_events = self._parser.feed(chunk)
+        if not complete_events:
             return False
         if self.first_at is None:
             self.first_at = read_clock()
-        self.events += len(whole)
-        self.last_event = parse_event_id(whole[-1]) or self.last_event
+        self.events += len(complete_events)
+        self.last_event = parse_event_id(complete_events[-1]) or self.last_event
         await self._send_head()
-        await self._responder.write(b''.join(whole), more=True)
+        await self._responder.write(b''.join(complete_events), more=True)
         return True
 
     async def finish(self) -> None:
--- a/src/dykemast/_internal/serving/relay/event_streams.py
+++ b/src/dykemast/_internal/serving/relay/event_streams.py
@@ -46,8 +46,8 @@
 
     async def _deliver(self, send: Send) -> None:
         server = send.server
-        unread = count_uncached(self._parts, self._admitted, server.name)
-        prefill = Prefill(self._parts, server.name, unread)
+        uncached = count_uncached(self._parts, self._admitted, server.name)
+        prefill = Prefill(self._parts, server.name, uncached)
         try:
             await self._send(send, prefill)
         except UpstreamError as error:
@@ -65,26 +65,28 @@
             self._parts.loads.own.end(server.name)
 
     async def _send(self, send: Send, prefill: Prefill) -> None:
-        sending = make_upstream_request(self._admitted, self._body, send.server)
-        sending = sending.resume_after(self.relay.last_event)
-        async with self._parts.upstreams.send(sending) as answer:
+        outgoing = make_upstream_request(
+            self._admitted, self._body, send.server
+        )
+        outgoing = outgoing.resume_after(self.relay.last_event)
+        async with self._parts.upstreams.send(outgoing) as response:
             # The request has run, even if the response is an error.
             self._attempts.may_have_run = True
             self._payment.usage.record_start()
             record_prompt(self._parts, self._admitted, send.server)
-            if answer.head.status >= _FIRST_ERROR_STATUS:
-                await self._forward_error(answer)
+            if response.head.status >= _FIRST_ERROR_STATUS:
+                await self._forward_error(response)
                 return
-            self.relay.begin(answer.head)
+            self.relay.begin(response.head)
             meter = PauseMeter(self._parts, self._admitted, send)
-            async for chunk in answer.read_chunks(self._admitted.deadline):
+            async for chunk in response.read_chunks(self._admitted.deadline):
                 if await self.relay.forward_chunk(chunk):
                     prefill.end()
                     self._payment.usage.record_read(self.relay.events)
                     meter.record_event()
             await self.relay.finish()
-            meter.log_end(self.relay.events)
+            meter.log_summary(self.relay.events)
 
-    async def _forward_error(self, answer: UpstreamResponse) -> None:
-        whole = await answer.read_whole(self._admitted.deadline)
-        await self.relay.forward_error(answer.head, whole)
+    async def _forward_error(self, response: UpstreamResponse) -> None:
+        error_body = await response.read_whole(self._admitted.deadline)
+        await self.relay.forward_error(response.head, error_body)
--- a/src/dykemast/_internal/serving/relay/pauses.py
+++ b/src/dykemast/_internal/serving/relay/pauses.py
@@ -39,12 +39,12 @@
         if self._send.event_at is None:
             self._log_first(now)
         else:
-            self._note_pause(now - self._last, now)
+            self._record_pause(now - self._last, now)
         if self._send.record_event(now):
             record_healthy_run(self._board, self._send)
         self._last = now
 
-    def log_end(self, events: int) -> None:
+    def log_summary(self, events: int) -> None:
         """Log the timing of the stream, so that late streams can be explained.
 
         :param events: number of events delivered to the caller.
@@ -68,7 +68,7 @@
             took_s=round(now - self._admitted.started, 3),
         )
 
-    def _note_pause(self, pause: float, now: float) -> None:
+    def _record_pause(self, pause: float, now: float) -> None:
         self._longest = max(self._longest, pause)
         objective = self._admitted.route.pause_objective
         self._pauses.record(self._engine, pause, objective, now)
--- a/src/dykemast/_internal/serving/relay/payments.py
+++ b/src/dykemast/_internal/serving/relay/payments.py
@@ -45,8 +45,8 @@
         if missing <= 0:
             return
         priority = self._admitted.route.priority
-        more = await self._parts.budgets.hold(workspace, missing, priority)
-        self._holds.append(more)
+        new_hold = await self._parts.budgets.hold(workspace, missing, priority)
+        self._holds.append(new_hold)
         self._parts.metrics.tokens.add({'state': 'held'}, missing)
 
     async def hold_for_retry(self) -> None:
@@ -64,11 +64,11 @@
     def settle(self) -> None:
         """Charge the consumed tokens and release the rest."""
         used = self.usage.count_used_tokens()
-        left = used
+        remaining = used
         for held in self._holds:
-            charged = min(left, held.tokens)
+            charged = min(remaining, held.tokens)
             self._parts.budgets.settle(held, charged)
-            left -= charged
+            remaining -= charged
         if self._holds:
             self._parts.metrics.tokens.add({'state': 'consumed'}, used)
             self._log_settled(used)
--- a/src/dykemast/_internal/serving/relay/plain_calls.py
+++ b/src/dykemast/_internal/serving/relay/plain_calls.py
@@ -45,11 +45,11 @@
 
 
 async def _fetch(exchange: Exchange, server: BackendServer) -> _Response:
-    sending = make_upstream_request(exchange.admitted, exchange.body, server)
+    outgoing = make_upstream_request(exchange.admitted, exchange.body, server)
     loads = exchange.parts.loads.own
     with contextlib.ExitStack() as ending:
         loads.begin(server.name, 0)
         ending.callback(loads.end, server.name)
-        async with exchange.parts.upstreams.send(sending) as answer:
-            response = await answer.read_whole(exchange.admitted.deadline)
-            return _Response(answer.head, response)
+        async with exchange.parts.upstreams.send(outgoing) as response:
+            body = await response.read_whole(exchange.admitted.deadline)
+            return _Response(response.head, body)
--- a/src/dykemast/_internal/serving/relay/retries.py
+++ b/src/dykemast/_internal/serving/relay/retries.py
@@ -40,7 +40,7 @@
     return _spend_allowance(exchange)
 
 
-def has_time(admitted: AdmittedRequest) -> bool:
+def has_time_left(admitted: AdmittedRequest) -> bool:
     """Check whether enough time is left for a retry.
 
     :param admitted: the request.
@@ -73,7 +73,7 @@
         # A retry may crash another server. The caller has to repeat the
         # request.
         return False
-    return has_time(admitted) and _has_sends_left(admitted, sends, error)
+    return has_time_left(admitted) and _has_sends_left(admitted, sends, error)
 
 
 def _has_sends_left(
--- a/src/dykemast/_internal/serving/state/quarantines.py
+++ b/src/dykemast/_internal/serving/state/quarantines.py
@@ -66,16 +66,16 @@
 def record_crash_answer(
     board: ServingBoard,
     message: CrashGossip,
-    asked_at: float,
+    requested_at: float,
 ) -> None:
     """Record that a peer answered a request of this router.
 
     :param board: shared state of the router.
     :param message: crash report in the response, already merged.
-    :param asked_at: time of the request, in seconds.
+    :param requested_at: time of the request, in seconds.
     """
     if message.complete:
-        board.crashes.asked_at = asked_at
+        board.crashes.requested_at = requested_at
 
 
 def apply_crash_gossip(
--- a/tests/lib/trial_world.py
+++ b/tests/lib/trial_world.py
@@ -37,14 +37,14 @@
 
 def make_routers(
     ago: float = LAST_CRASH_AGE_S,
-    ends: tuple[Requests, Requests] = (PAIR, PAIR),
+    crash_suspects: tuple[Requests, Requests] = (PAIR, PAIR),
 ) -> list[ServingBoard]:
     """Make routers that all know of two crashes with the given suspects."""
     boards = serving_boards.make_boards(ROUTERS)
     for board in boards:
-        board.crashes.asked_at = read_clock()
-        record_crash_of(board, ago + CRASH_INTERVAL_S, ends[0])
-        record_crash_of(board, ago, ends[1])
+        board.crashes.requested_at = read_clock()
+        record_crash_of(board, ago + CRASH_INTERVAL_S, crash_suspects[0])
+        record_crash_of(board, ago, crash_suspects[1])
         review_suspects(board.crashes, read_clock())
     return boards
 
--- a/tests/unit/test_crash_news.py
+++ b/tests/unit/test_crash_news.py
@@ -46,8 +46,8 @@
 
 
 def send_gossip(sender: CrashTable, receiver: CrashTable, now: float) -> None:
-    told = crash_gossip.build_crash_gossip(sender, now)
-    if crash_gossip.apply_crash_gossip(receiver, told, now + TRANSIT_S):
+    sent_message = crash_gossip.build_crash_gossip(sender, now)
+    if crash_gossip.apply_crash_gossip(receiver, sent_message, now + TRANSIT_S):
         review_suspects(receiver, now + TRANSIT_S)
 
 
@@ -70,8 +70,8 @@
     # Of the 3 s that are allowed, the last crash takes 1.5 s to decide.
     for count in (3, 8, 75, 195):
         tables = [CrashTable() for _ in range(count)]
-        for place in range(3):
-            record_one_crash(tables[place], f'server-{place}', 100 + place)
+        for index in range(3):
+            record_one_crash(tables[index], f'server-{index}', 100 + index)
         now = run_gossip_rounds(tables, 102, 8)
         assert now < 102 + 2
         for table in tables:
@@ -89,8 +89,8 @@
 
 def test_a_request_cleared_at_one_router_is_cleared_at_all() -> None:
     tables = [CrashTable() for _ in range(6)]
-    for place in range(3):
-        record_one_crash(tables[0], f'server-{place}', 100 + place)
+    for index in range(3):
+        record_one_crash(tables[0], f'server-{index}', 100 + index)
     now = run_gossip_rounds(tables, 103, 4)
     clear_suspect(tables[5], 'a', now)
     review_suspects(tables[5], now)
@@ -101,7 +101,7 @@
 
 
 def make_suspects(server: int) -> tuple[Suspect, ...]:
-    names = (f'{server}-{place}'.rjust(24, 'x') for place in range(100))
+    names = (f'{server}-{index}'.rjust(24, 'x') for index in range(100))
     return tuple(Suspect(one, 0.2) for one in names)
 
 
@@ -125,8 +125,8 @@
 
 def test_stored_records_survive_a_loss_of_all_routers() -> None:
     before = CrashTable()
-    for place in range(3):
-        record_one_crash(before, f'server-{place}', 100 + place)
+    for index in range(3):
+        record_one_crash(before, f'server-{index}', 100 + index)
     review_suspects(before, 102 + DECISION_DELAY_S)
     after = CrashTable()
     apply_record(after, find_record(before), 7)
@@ -137,8 +137,8 @@
 
 def test_two_crashes_before_a_loss_and_one_after_it_quarantine() -> None:
     before = CrashTable()
-    for place in range(2):
-        record_one_crash(before, f'server-{place}', 100 + place)
+    for index in range(2):
+        record_one_crash(before, f'server-{index}', 100 + index)
     after = CrashTable()
     apply_record(after, find_record(before), 7)
     record_one_crash(after, 'server-2', 8)
@@ -147,8 +147,8 @@
 
 def test_a_crash_in_the_store_and_in_a_report_counts_once() -> None:
     before = CrashTable()
-    for place in range(2):
-        record_one_crash(before, f'server-{place}', 100 + place)
+    for index in range(2):
+        record_one_crash(before, f'server-{index}', 100 + index)
     record = find_record(before)
     table = CrashTable()
     apply_record(table, record, 102)
--- a/tests/unit/test_crash_review.py
+++ b/tests/unit/test_crash_review.py
@@ -37,15 +37,15 @@
 
 def record_crashes(
     table: CrashTable,
-    ends: Sequence[tuple[str, ...]],
+    crash_suspects: Sequence[tuple[str, ...]],
     since: float = 100,
 ) -> float:
     """Record crashes in sequence; return the time of the decision."""
     now = since
-    for place, requests in enumerate(ends):
+    for index, requests in enumerate(crash_suspects):
         now += CRASH_INTERVAL_S
         suspects = tuple(Suspect(one, RUN_TIME_S) for one in requests)
-        name = f'server-{since}-{place}'
+        name = f'server-{since}-{index}'
         record_crash(table, ServerCrash(name, 0, suspects, SERVICE, 8), now)
         review_suspects(table, now)
     return now + DECISION_DELAY_S
@@ -69,8 +69,10 @@
 
 def test_a_co_suspect_of_all_crashes_but_one_is_not_quarantined() -> None:
     table = CrashTable()
-    ends = (TWO_SUSPECTS, TWO_SUSPECTS, TWO_SUSPECTS, ONE_SUSPECT)
-    assert review_suspects(table, record_crashes(table, ends)) == ['a']
+    crash_suspects = (TWO_SUSPECTS, TWO_SUSPECTS, TWO_SUSPECTS, ONE_SUSPECT)
+    assert review_suspects(table, record_crashes(table, crash_suspects)) == [
+        'a'
+    ]
 
 
 def test_two_suspects_of_the_same_crashes_are_not_quarantined() -> None:
@@ -81,8 +83,8 @@
 
 def test_two_crashing_requests_that_shared_a_server_are_quarantined() -> None:
     table = CrashTable()
-    ends = (ONE_SUSPECT, ('b',), ('a', 'b'), ONE_SUSPECT, ('b',))
-    review_suspects(table, record_crashes(table, ends))
+    crash_suspects = (ONE_SUSPECT, ('b',), ('a', 'b'), ONE_SUSPECT, ('b',))
+    review_suspects(table, record_crashes(table, crash_suspects))
     assert set(table.quarantines) == {'a', 'b'}
 
 
@@ -172,8 +174,8 @@
     # All crashes happen within a second, as with a send and its retries in a
     # small service.
     table = CrashTable()
-    for place in range(3):
-        record_single_suspect(table, str(place), 2, 100 + 0.3 * place)
+    for index in range(3):
+        record_single_suspect(table, str(index), 2, 100 + 0.3 * index)
     assert review_suspects(table, 103) == ['a']
 
 
@@ -230,9 +232,9 @@
 
 @given(CRASHES)
 def test_fewer_than_three_crashes_quarantine_nobody(
-    ends: list[tuple[str, ...]],
+    crash_suspects: list[tuple[str, ...]],
 ) -> None:
     table = CrashTable()
-    review_suspects(table, record_crashes(table, ends))
+    review_suspects(table, record_crashes(table, crash_suspects))
     for request in table.quarantines:
-        assert sum(request in present for present in ends) >= 3
+        assert sum(request in present for present in crash_suspects) >= 3
--- a/tests/unit/test_quarantine_gate.py
+++ b/tests/unit/test_quarantine_gate.py
@@ -26,7 +26,7 @@
 
 
 def mark_current(board: ServingBoard) -> ServingBoard:
-    board.crashes.asked_at = read_clock()
+    board.crashes.requested_at = read_clock()
     return board
 
 
@@ -34,10 +34,10 @@
     """Record servers that crashed in sequence under the request."""
     now = read_clock()
     suspects = (Suspect(make_identity().compute_digest(), ago + 0.1),)
-    for place in range(count):
-        age = ago + count - place
+    for index in range(count):
+        age = ago + count - index
         crash = ServerCrash(
-            f'server-{place}',
+            f'server-{index}',
             age,
             (suspects[0]._replace(sent_age_s=age + 0.1),),
         )
--- a/tests/unit/test_trial_fuzz.py
+++ b/tests/unit/test_trial_fuzz.py
@@ -19,11 +19,13 @@
 
 @given(st.tuples(SUSPECTS, SUSPECTS), st.permutations(REQUESTS).map(tuple))
 def test_one_suspect_of_both_crashes_runs_at_a_time(
-    ends: tuple[Requests, Requests], asked: Requests
+    crash_suspects: tuple[Requests, Requests], asked: Requests
 ) -> None:
     with ExitStack() as stack:
-        admitted = list_admitted(stack, make_routers(ends=ends), asked)
-    suspects = find_common(*ends)
+        admitted = list_admitted(
+            stack, make_routers(crash_suspects=crash_suspects), asked
+        )
+    suspects = find_common(*crash_suspects)
     on_trial = [name for name in admitted if name in suspects]
     if len(suspects) > 1:
         assert len(on_trial) == 1
