--- a/src/dykemast/_internal/operations/crash_review.py
+++ b/src/dykemast/_internal/operations/crash_review.py
@@ -1,4 +1,4 @@
-"""Quarantine decisions."""
+"""Decisions which requests are quarantined."""
 
 from typing import Final
 
--- a/src/dykemast/_internal/serving/process/crash_loops.py
+++ b/src/dykemast/_internal/serving/process/crash_loops.py
@@ -1,4 +1,4 @@
-"""Loops that detect server crashes and store and follow their records."""
+"""Background loops that detect server crashes and sync their records."""
 
 from functools import partial
 
@@ -10,21 +10,21 @@
 
 
 def list_crash_loops(assembly: Assembly) -> list[BackgroundLoop]:
-    """List these loops.
+    """List the background loops for server crashes.
 
-    :param assembly: shared components of the process.
+    :param assembly: the assembled process.
     :returns: the loops, not started.
     """
     board = assembly.parts.board
     store = assembly.upkeep.store
     records = crash_records.make_updater(board)
-    follow = partial(watch_kind, board, store, records)
+    watch = partial(watch_kind, board, store, records)
     return [
         BackgroundLoop(
             'read_records',
             partial(crash_records.read_records, board, store, records),
         ),
-        BackgroundLoop(f'follow_kind:{records.kind}', follow),
+        BackgroundLoop(f'follow_kind:{records.kind}', watch),
         BackgroundLoop(
             'write_records',
             partial(crash_writes.write_records, board, store),
--- a/src/dykemast/_internal/serving/relay/sends.py
+++ b/src/dykemast/_internal/serving/relay/sends.py
@@ -17,7 +17,7 @@
 
 
 class Send:
-    """A send that may be in progress.
+    """A send of a request, possibly in progress.
 
     :param server: the server that receives the request.
     :param sent_at: seconds on the monotonic clock.
