--- a/tests/unit/test_crash_objects.py
+++ b/tests/unit/test_crash_objects.py
@@ -1,4 +1,4 @@
-"""What the store tells of requests that end servers, and what it does not."""
+"""Effects of crash records that are read from the store."""
 
 from typing import Any
 
@@ -22,46 +22,48 @@
     return StoreObject(NAME, 3, held)
 
 
-def take(board: ServingBoard, stored: StoreObject, *, removed: bool) -> None:
-    following = crash_records.make_updater(board)
+def apply_event(
+    board: ServingBoard, stored: StoreObject, *, removed: bool
+) -> None:
+    record_updater = crash_records.make_updater(board)
     changes = Changes([Event(stored, removed)], 4)
-    updates.apply_changes(following, changes)
+    updates.apply_changes(record_updater, changes)
 
 
 def test_a_record_quarantines_until_an_operator_removes_it() -> None:
     board = make_board()
-    take(board, make_object(), removed=False)
+    apply_event(board, make_object(), removed=False)
     assert board.quarantined == {NAME}
-    take(board, make_object(), removed=True)
+    apply_event(board, make_object(), removed=True)
     assert not board.quarantined
-    # Read once more, as it was before: it stays lifted.
-    take(board, make_object(), removed=False)
+    # An older copy of the record does not restore the quarantine.
+    apply_event(board, make_object(), removed=False)
     assert not board.quarantined
 
 
-def test_what_cannot_be_read_neither_quarantines_nor_lifts() -> None:
+def test_an_invalid_record_neither_quarantines_nor_lifts() -> None:
     for wrong in ({'servers': 5}, {'terms': 'x'}, {'request': 'other'}):
         board = make_board()
-        take(board, make_object(**wrong), removed=False)
+        apply_event(board, make_object(**wrong), removed=False)
         assert not board.quarantined
-        take(board, make_object(), removed=False)
-        take(board, make_object(**wrong), removed=False)
+        apply_event(board, make_object(), removed=False)
+        apply_event(board, make_object(**wrong), removed=False)
         assert board.quarantined == {NAME}
 
 
-def test_a_router_that_stood_still_asks_anew() -> None:
+def test_a_suspended_router_is_not_current() -> None:
     board = make_board()
     assert not is_crash_table_current(board)
-    board.crashes.asked_at = read_clock()
+    board.crashes.requested_at = read_clock()
     assert is_crash_table_current(board)
-    # The loop has not run for longer than others need to tell something.
+    # The event loop was suspended for longer than peers need to send reports.
     board.watch.note(read_clock() - 5)
     assert not is_crash_table_current(board)
 
 
-def test_a_listing_lifts_nothing_that_is_missing_in_it() -> None:
+def test_a_listing_lifts_no_missing_record() -> None:
     board = make_board()
-    take(board, make_object(), removed=False)
-    following = crash_records.make_updater(board)
-    updates.apply_listing(following, Listing([], 9))
+    apply_event(board, make_object(), removed=False)
+    record_updater = crash_records.make_updater(board)
+    updates.apply_listing(record_updater, Listing([], 9))
     assert board.quarantined == {NAME}
