--- a/src/dykemast/_internal/serving/__init__.py
+++ b/src/dykemast/_internal/serving/__init__.py
@@ -1,10 +1,10 @@
-"""The router program as it runs on the users' instances.
+"""The router that runs on the users' instances.
 
-It keeps nothing of its own: configuration, backend servers, members and
-budgets lie in the platform's object store.
+It stores nothing locally: configuration, backend servers, members and budgets
+are objects in the platform's object store.
 
-A folder a stage, each of which uses only those before it: ``state``,
+Each subpackage is a layer that imports only the preceding ones: ``state``,
 ``requests``, ``knowledge``, ``members``, ``admission``, ``tokens``,
-``sending``, then ``parts`` (the module that holds what they made), ``choice``,
+``sending``, then ``parts`` (the module that holds their objects), ``choice``,
 ``relay`` and ``process``.
 """
--- a/src/dykemast/_internal/serving/knowledge/__init__.py
+++ b/src/dykemast/_internal/serving/knowledge/__init__.py
@@ -1,5 +1,5 @@
-"""What is known of the store: configuration and backend servers.
+"""Local copies of store objects: configuration and backend servers.
 
-In: lists and watches of the store, or of peers that read it. Out: the
-configuration in force and the usable servers, on the blackboard.
+Input: listings and watches of the store, or copies that peers send. Output:
+the configuration in force and the usable servers, on the blackboard.
 """
--- a/src/dykemast/_internal/serving/knowledge/ages.py
+++ b/src/dykemast/_internal/serving/knowledge/ages.py
@@ -1,25 +1,26 @@
-"""How old the knowledge of each kind of the store may be."""
+"""Age of the local copy of each kind of store objects."""
 
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 
 
 def compute_ages(board: ServingBoard) -> dict[str, float]:
-    """Tell peers how old the knowledge of each kind is.
+    """Compute the age of the local copy of each kind.
 
     :param board: the blackboard.
-    :returns: seconds by kind.
+    :returns: seconds since the last full listing, by kind.
     """
     now = read_clock()
     return {kind: now - at for kind, at in board.last_read_at.items()}
 
 
 def compute_age(board: ServingBoard, kind: str) -> float:
-    """Measure how old the knowledge of a kind may be.
+    """Compute the age of the local copy of a kind.
 
     :param board: the blackboard.
-    :param kind: the kind.
-    :returns: seconds since it was last read whole, by whoever is heard.
+    :param kind: kind of the objects.
+    :returns: seconds since its last full listing, by this router or by a
+        peer that confirmed the same copy.
     """
     return read_clock() - board.last_read_at.get(kind, 0)
 
@@ -30,16 +31,16 @@
     age: float | None,
     asked_at: float,
 ) -> None:
-    """Take over that a peer read a kind, and what it found.
+    """Record how old the same copy of a kind is at a peer.
 
-    The age counts from when the peer was asked, before it told: news may wait
-    in buffers for as long as a busy loop takes, and old knowledge would pass
-    for new.
+    The age counts from the time of the request, which precedes the answer:
+    an answer may wait in buffers while the event loop is busy, and a stale
+    copy would pass for a current one.
 
-    :param board: the blackboard; it knows what the peer found already.
-    :param kind: the kind.
-    :param age: seconds since the peer read it; None for never.
-    :param asked_at: seconds at which the peer was asked.
+    :param board: the blackboard; it already holds the peer's copy.
+    :param kind: kind of the objects.
+    :param age: seconds since the peer listed them; None for never.
+    :param asked_at: seconds at which the request was sent.
     """
     if age is not None:
         known = board.last_read_at.get(kind, 0)
--- a/src/dykemast/_internal/serving/knowledge/backends.py
+++ b/src/dykemast/_internal/serving/knowledge/backends.py
@@ -1,4 +1,4 @@
-"""Keep the list of backend servers."""
+"""Maintain the list of backend servers."""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,19 +12,19 @@
 
 _log = make_logger('backends')
 
-#: Seconds without a read of the list, by anyone who is heard, from which on
-#: the store counts as having been away: reads are at most 1.6 s apart, and
-#: entries lapse after 3.6 s without one.
+#: Seconds without a listing by any live router after which the store counts as
+#: having been unavailable: listings are at most 1.6 s apart, and entries expire
+#: after 3.6 s of an outage.
 STORE_OUTAGE_GAP_S: Final = 2.5
-#: Seconds that an entry stays which lapsed meanwhile: users say that servers
-#: that live are listed again within about two.
+#: Seconds for which a server is kept whose entry expired during the outage:
+#: running servers are listed again within about 2 s.
 EXPIRED_GRACE_S: Final = 2.0
-#: Seconds between two looks at these.
+#: Seconds between two checks for these.
 EXPIRED_CHECK_INTERVAL_S: Final = 0.25
 
 
 async def remove_expired(board: ServingBoard) -> None:
-    """Forget servers that are not listed again in time, for ever.
+    """Remove servers whose expired entry did not return in time; never returns.
 
     :param board: the blackboard.
     """
@@ -43,11 +43,11 @@
     names: Iterable[str],
     source: str,
 ) -> None:
-    """Send nothing new to servers that are leaving.
+    """Mark servers as leaving, so that they get no new requests.
 
     :param board: the blackboard.
-    :param names: the names of their starts.
-    :param source: who says so.
+    :param names: names of their incarnations.
+    :param source: where the information comes from, for the log.
     """
     for name in set(names) - board.leaving:
         if name in board.servers:
@@ -56,7 +56,7 @@
 
 
 def list_usable(board: ServingBoard, service: str) -> list[BackendServer]:
-    """List the servers of a service that take new requests.
+    """List the servers of a service that accept new requests.
 
     :param board: the blackboard.
     :param service: the service.
@@ -74,13 +74,13 @@
     service: str,
     allowed_regions: Iterable[frozenset[str]],
 ) -> list[BackendServer]:
-    """List the servers that may get a new request.
+    """List the servers that a new request may be sent to.
 
     :param board: the blackboard.
     :param service: the service.
     :param allowed_regions: regions that the request may be sent to; each
         set applies.
-    :returns: usable servers of halls that are not emptied and lie in them.
+    :returns: usable servers in these regions, without evacuated halls.
     """
     regions = board.settings.regions
     return [
@@ -92,13 +92,14 @@
 
 
 def add_server(board: ServingBoard, server: BackendServer) -> None:
-    """Take a server that is listed.
+    """Add or update a listed server.
 
-    What was known of an earlier start under its id is forgotten: it holds and
-    knows nothing of that any more, and may have said that it leaves.
+    An earlier incarnation with the same id is removed with all its state: the
+    new process shares nothing with it, and the earlier one may have announced
+    that it leaves.
 
     :param board: the blackboard.
-    :param server: the server.
+    :param server: the server, as its entry describes it.
     """
     earlier = board.server_starts.get(server.server_id)
     if earlier and earlier.name != server.name:
@@ -120,14 +121,17 @@
     if server.leaving:
         mark_leaving(board, [server.name], 'store')
     if board.backpressure.delisted.relist(server):
-        mark_leaving(board, [server.name], 'earlier word')
+        mark_leaving(board, [server.name], 'earlier answer')
 
 
 def handle_removed_entry(board: ServingBoard, name: str) -> None:
-    """Forget a server whose entry is gone, or wait whether it comes back.
+    """Remove a server whose entry is gone, or keep it for a grace period.
+
+    It is kept if the store was unavailable, since entries expire during an
+    outage and return after it.
 
     :param board: the blackboard.
-    :param name: the name of its start.
+    :param name: name of its incarnation.
     """
     now = read_clock()
     gap = now - board.last_read_at.get(SERVER_KIND, 0)
@@ -139,10 +143,10 @@
 
 
 def remove_server(board: ServingBoard, name: str) -> None:
-    """Forget a server.
+    """Remove a server and its state.
 
     :param board: the blackboard.
-    :param name: the name of its start.
+    :param name: name of its incarnation.
     """
     board.expired_until.pop(name, None)
     board.cold_until.pop(name, None)
--- a/src/dykemast/_internal/serving/knowledge/backpressure.py
+++ b/src/dykemast/_internal/serving/knowledge/backpressure.py
@@ -1,4 +1,4 @@
-"""What backend servers ask for in their answers."""
+"""Backpressure: pauses, limits and shutdowns that servers announce."""
 
 import itertools
 from collections.abc import Iterable
@@ -14,8 +14,8 @@
 
 _log = make_logger('backends')
 
-#: Servers that a line of the log describes.
-MAX_DESCRIBED: Final = 8
+#: Bounds the length of a log line.
+MAX_DESCRIBED_SERVERS: Final = 8
 
 
 def record_backpressure(
@@ -23,23 +23,23 @@
     server: BackendServer,
     head: ResponseHead,
 ) -> None:
-    """Take note of what an answer of a server asks for.
+    """Record the backpressure that an answer of a server announces.
 
     :param board: the blackboard.
-    :param server: the server.
+    :param server: the server that the request was sent to.
     :param head: head of the answer.
     """
     if head.misdirected:
-        # Another server has its address now.
+        # Another server answers at this address now.
         return
     if head.backpressure.leaving:
-        _note_leaving(board, server)
+        _record_leaving(board, server)
     if head.backpressure.rest:
         until = read_clock() + head.backpressure.rest
         board.backpressure.record_backoff(server.name, until)
     if head.backpressure.limit or head.signed:
-        # Only an answer of a run ends a limit: one that turns a request away
-        # may come from a part of the server that knows of none.
+        # Only the answer to a request that ran lifts a limit: a rejection may
+        # come from a front end of the server that does not know the limit.
         rate = head.backpressure.limit or NO_LIMIT
         board.backpressure.limits.record(server.name, rate, read_clock())
     _log_change(board, server, head)
@@ -49,11 +49,11 @@
     board: ServingBoard,
     servers: Iterable[BackendServer],
 ) -> dict[str, str]:
-    """Describe what servers asked for that keeps requests from them.
+    """Describe the pauses and limits that keep requests from servers.
 
     :param board: the blackboard.
-    :param servers: of one service.
-    :returns: texts for the log by server, of some that are held back.
+    :param servers: servers of one service.
+    :returns: texts for the log by server, for some of the servers affected.
     """
     now = read_clock()
     held: dict[str, str] = {}
@@ -61,10 +61,10 @@
         rest = board.backpressure.get_backoff(server.name, now)
         limit = board.backpressure.limits.find(server.name)
         if rest:
-            held[server.name] = f'rests {rest:.1f} s'
+            held[server.name] = f'paused for {rest:.1f} s'
         elif limit:
-            held[server.name] = f'limit {limit.rate}'
-    return dict(itertools.islice(held.items(), MAX_DESCRIBED))
+            held[server.name] = f'rate limit {limit.rate}'
+    return dict(itertools.islice(held.items(), MAX_DESCRIBED_SERVERS))
 
 
 def _log_change(
@@ -88,9 +88,9 @@
         )
 
 
-def _note_leaving(board: ServingBoard, server: BackendServer) -> None:
+def _record_leaving(board: ServingBoard, server: BackendServer) -> None:
     if server.server_id in board.server_starts:
         mark_leaving(board, [server.name], 'answer')
     else:
-        # Its entry may come back.
+        # Its entry may return after an outage of the store.
         board.backpressure.delisted.record(server, read_clock())
--- a/src/dykemast/_internal/serving/knowledge/cold_servers.py
+++ b/src/dykemast/_internal/serving/knowledge/cold_servers.py
@@ -1,4 +1,4 @@
-"""Which backend servers are cold, as far as this router knows."""
+"""Track which backend servers are cold."""
 
 from typing import Final
 
@@ -6,13 +6,13 @@
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds for which a server that is back counts as cold before its entry
-#: tells: a heartbeat of 1.2 s until it is written, and until that is heard.
-RECHECK_TIME: Final = 2.5
+#: Seconds for which a server that returned counts as cold until its entry is
+#: updated: a heartbeat interval of 1.2 s, and the time until routers see it.
+COLD_RECHECK_S: Final = 2.5
 
 
 def record_cold_time(board: ServingBoard, server: BackendServer) -> None:
-    """Take over what a new entry says of its server.
+    """Record for how long a server stays cold, by its new entry.
 
     :param board: the blackboard.
     :param server: the server, as its entry describes it.
@@ -23,17 +23,17 @@
 
 
 def mark_returned(board: ServingBoard, name: str) -> None:
-    """Take a server that is back for cold until its entry says otherwise.
+    """Treat a server that returned as cold until its entry is updated.
 
     :param board: the blackboard.
-    :param name: the name of its start.
+    :param name: name of its incarnation.
     """
-    until = read_clock() + RECHECK_TIME
+    until = read_clock() + COLD_RECHECK_S
     board.cold_until[name] = max(until, board.cold_until.get(name, until))
 
 
 def mark_hall_returned(board: ServingBoard, hall: str) -> None:
-    """Take note that the servers of a hall get requests again.
+    """Treat the servers of a hall that is no longer evacuated as cold.
 
     :param board: the blackboard.
     :param hall: the hall.
@@ -47,7 +47,7 @@
     """Tell whether a server counts as cold.
 
     :param board: the blackboard.
-    :param name: the name of its start.
+    :param name: name of its incarnation.
     :param now: seconds.
     :returns: whether it does.
     """
--- a/src/dykemast/_internal/serving/knowledge/configuration.py
+++ b/src/dykemast/_internal/serving/knowledge/configuration.py
@@ -1,4 +1,4 @@
-"""Keep the newest configuration in force."""
+"""Put the newest configuration in force."""
 
 from typing import Final
 
@@ -17,15 +17,15 @@
 
 _log = make_logger('configuration')
 
-#: Seconds in which changes gather; users allow 2 s until one is in force.
-WATCH_PAUSE: Final = 0.2
+#: Batches changes into one call; a change must be in force within 2 s.
+WATCH_PAUSE_S: Final = 0.2
 
 
 def make_updater(board: ServingBoard) -> Updater:
-    """Make what follows the configuration object.
+    """Make the updater for the configuration object.
 
     :param board: the blackboard.
-    :returns: the follower.
+    :returns: the updater.
     """
 
     def apply_object(stored: StoreObject) -> None:
@@ -33,7 +33,7 @@
             apply_configuration(board, stored, 'store')
 
     def ignore(_: object) -> None:
-        """Keep a configuration in force that is gone, or not usable now."""
+        """Keep the configuration in force if the object is gone or invalid."""
 
     def record_revision(revision: int) -> None:
         board.revisions[CONFIGURATION_KIND] = revision
@@ -45,7 +45,7 @@
         ignore,
         ignore,
         record_revision,
-        WATCH_PAUSE,
+        WATCH_PAUSE_S,
         told={},
     )
 
@@ -59,8 +59,8 @@
 
     :param board: the blackboard.
     :param stored: the object that holds it.
-    :param source: where it came from.
-    :raises NotUsableError: when it makes no sense.
+    :param source: the store or a peer, for the log.
+    :raises NotUsableError: when it is invalid.
     """
     table = decode_configuration(stored)
     before = board.get_version()
@@ -84,17 +84,17 @@
 def apply_peer_copy(board: ServingBoard, body: bytes, peer: str) -> None:
     """Put a peer's configuration in force if it is newer.
 
-    One that makes no sense is logged; the one before stays in force.
+    An invalid one is logged, and the current one stays in force.
 
     :param board: the blackboard.
-    :param body: as the peer keeps it.
-    :param peer: its instance.
+    :param body: the packed configuration object.
+    :param peer: instance of the peer.
     """
     try:
-        _decode_and_take(board, body, peer)
+        _decode_and_apply(board, body, peer)
     except InvalidDataError as error:
         _log('configuration_not_usable', peer=peer, reason=str(error))
 
 
-def _decode_and_take(board: ServingBoard, body: bytes, peer: str) -> None:
+def _decode_and_apply(board: ServingBoard, body: bytes, peer: str) -> None:
     apply_configuration(board, unpack(body, StoreObject), peer)
--- a/src/dykemast/_internal/serving/knowledge/evacuations.py
+++ b/src/dykemast/_internal/serving/knowledge/evacuations.py
@@ -1,4 +1,4 @@
-"""Keep which halls are being emptied."""
+"""Maintain the list of evacuated halls."""
 
 from typing import Final
 
@@ -13,24 +13,24 @@
 
 _log = make_logger('backends')
 
-#: Seconds in which changes gather before they are read.
-WATCH_PAUSE: Final = 0.3
+#: Batches changes into one call.
+WATCH_PAUSE_S: Final = 0.3
 _SOURCE: Final = 'store'
 
 
 def make_updater(board: ServingBoard) -> Updater:
-    """Make what follows these objects.
+    """Make the updater for evacuation objects.
 
     :param board: the blackboard.
-    :returns: the follower.
+    :returns: the updater.
     """
     halls = set(board.evacuations.halls)
 
     def apply_object(stored: StoreObject) -> None:
         known = board.settings.regions
         if known and stored.name not in known:
-            # Kept, it would stand in all news of all routers.
-            raise InvalidDataError('there is no such hall.')
+            # If kept, the name would be part of every gossip message.
+            raise InvalidDataError('the deployment has no hall of this name.')
         halls.add(stored.name)
 
     def remove_object(name: str) -> None:
@@ -52,7 +52,7 @@
         remove_object,
         remove_object,
         record_revision,
-        WATCH_PAUSE,
+        WATCH_PAUSE_S,
         told={},
     )
 
@@ -62,11 +62,11 @@
     told: Evacuations,
     source: str,
 ) -> None:
-    """Take which halls are emptied, if it is newer than what is known.
+    """Apply a list of evacuated halls if it is newer than the current one.
 
     :param board: the blackboard.
-    :param told: the halls.
-    :param source: who told.
+    :param told: the halls, and the store's revision of the list.
+    :param source: the store or a peer, for the log.
     """
     before = board.evacuations
     if told.revision <= before.revision:
--- a/src/dykemast/_internal/serving/knowledge/freshness.py
+++ b/src/dykemast/_internal/serving/knowledge/freshness.py
@@ -1,4 +1,4 @@
-"""Whether what is known of the store may decide a request."""
+"""Whether the local copy of store objects is fresh enough for a decision."""
 
 from typing import Final
 
@@ -9,44 +9,44 @@
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds that a request takes from the decision to its server, over a
-#: connection that has to be opened.
-SEND_TIME: Final = 0.3
+#: Seconds from the decision until the request reaches its server over a new
+#: connection.
+SEND_TIME_S: Final = 0.3
 
 
 def get_configuration_freshness(board: ServingBoard) -> Freshness:
-    """Tell what is known of the configuration.
+    """Get the freshness of the configuration.
 
     :param board: the blackboard.
-    :returns: how far it may decide.
+    :returns: its freshness.
     """
     return Freshness(
         compute_age(board, CONFIGURATION_KIND),
         board.settings.bounds.change_time,
         board.newest_peer_version > board.get_version(),
-        _is_store_away(board, CONFIGURATION_KIND),
+        _is_store_unavailable(board, CONFIGURATION_KIND),
     )
 
 
 def get_servers_freshness(board: ServingBoard) -> Freshness:
-    """Tell what is known of the list of backend servers.
+    """Get the freshness of the list of backend servers.
 
     :param board: the blackboard.
-    :returns: how far it may decide.
+    :returns: its freshness.
     """
     return Freshness(
         compute_age(board, SERVER_KIND),
         board.settings.bounds.leave_time,
         outdated=False,
-        store_away=_is_store_away(board, SERVER_KIND),
+        store_away=_is_store_unavailable(board, SERVER_KIND),
     )
 
 
 def get_evacuations_freshness(board: ServingBoard) -> Freshness:
-    """Tell what is known of halls that are being emptied.
+    """Get the freshness of the list of evacuated halls.
 
     :param board: the blackboard.
-    :returns: how far it may decide.
+    :returns: its freshness; always fresh where halls are not evacuated.
     """
     promised = board.settings.bounds.evacuate_time
     if promised is None:
@@ -54,14 +54,14 @@
     known = board.evacuations.revision > 0
     return Freshness(
         compute_age(board, EVACUATION_KIND),
-        promised - SEND_TIME,
+        promised - SEND_TIME_S,
         outdated=not known,
-        # Who has never known anything does not know what stays in force.
-        store_away=known and _is_store_away(board, EVACUATION_KIND),
+        # A router that never read the list has nothing to keep in force.
+        store_away=known and _is_store_unavailable(board, EVACUATION_KIND),
     )
 
 
-def _is_store_away(board: ServingBoard, kind: str) -> bool:
+def _is_store_unavailable(board: ServingBoard, kind: str) -> bool:
     if board.store_unavailable_since:
         return True
     now = read_clock()
--- a/src/dykemast/_internal/serving/knowledge/periodic_reads.py
+++ b/src/dykemast/_internal/serving/knowledge/periodic_reads.py
@@ -1,8 +1,8 @@
-"""Make sure that what is known of the store is not older than a bound.
+"""Bound the age of the local copy of store objects by periodic listings.
 
-A watch may be silent although something changed. So some router reads the
-kind from time to time, and all others learn from its news how old their own
-knowledge is at the most: each reads only when nobody did for a while.
+A watch may miss a change. So one of the routers lists the kind from time to
+time, and the others learn from its gossip messages how old their own copy is
+at most: each router lists only when no other did so lately.
 """
 
 import asyncio
@@ -22,27 +22,29 @@
 )
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds between two looks.
-_PAUSE: Final = 0.1
-#: Seconds before another try after a failure.
-RETRY_PAUSE: Final = 0.5
-#: Age, as a part of the bound, at which the first router reads, and by which
-#: each of the next waits longer: news of it take about 0.3 s.
-FIRST_AGE: Final = 0.5
-#: The same where news reach the last router after some three rounds: with 0.7
-#: s of 1.4 s gone before the first one reads, who hears late passes the bound
-#: and reads as well.
-FIRST_AGE_IN_LARGE_FLEET: Final = 0.3
-NEXT_AGE: Final = 0.25
-#: Routers before this one beyond which it makes no difference how many.
-_MAX_TURNS: Final = math.ceil((1 - FIRST_AGE_IN_LARGE_FLEET) / NEXT_AGE)
+#: Seconds between two checks.
+_CHECK_INTERVAL_S: Final = 0.1
+#: Seconds until a failed listing is retried.
+RETRY_PAUSE_S: Final = 0.5
+#: Age, as a fraction of the bound, at which the first router lists. Each next
+#: one waits longer by NEXT_AGE: gossip takes about 0.3 s to reach it.
+FIRST_AGE_SHARE: Final = 0.5
+#: Lower in a large fleet, where gossip takes about three rounds: if the first
+#: router lists after 0.7 s of a bound of 1.4 s, routers that hear of it late
+#: pass the bound and list as well.
+FIRST_AGE_SHARE_IN_LARGE_FLEET: Final = 0.3
+NEXT_AGE_SHARE: Final = 0.25
+#: Preceding routers beyond which the age is the whole bound in any case.
+_MAX_PRECEDING: Final = math.ceil(
+    (1 - FIRST_AGE_SHARE_IN_LARGE_FLEET) / NEXT_AGE_SHARE
+)
 
 
 class PeriodicRead(NamedTuple):
-    """A kind whose age is bounded.
+    """A kind that is listed periodically.
 
-    :param updater: takes what is read.
-    :param bound: seconds that knowledge may be old.
+    :param updater: callbacks for the objects.
+    :param bound: seconds, the highest age of the local copy.
     """
 
     updater: Updater
@@ -54,49 +56,54 @@
     store: ObjectStore,
     periodic_read: PeriodicRead,
 ) -> None:
-    """Read a kind when nobody did for a while, for ever.
+    """List a kind whenever no router did so lately; never returns.
 
     :param board: the blackboard.
     :param store: the object store.
-    :param periodic_read: what to read.
+    :param periodic_read: the kind, and the bound of its age.
     """
     while True:
         if is_read_due(board, periodic_read):
             await _read(board, store, periodic_read.updater)
-        await asyncio.sleep(_PAUSE)
+        await asyncio.sleep(_CHECK_INTERVAL_S)
 
 
 def is_read_due(board: ServingBoard, periodic_read: PeriodicRead) -> bool:
-    """Tell whether this router should read a kind now.
+    """Tell whether this router should list a kind now.
 
     :param board: the blackboard.
-    :param periodic_read: the kind, and how old knowledge of it may be.
+    :param periodic_read: the kind, and the bound of its age.
     :returns: whether it should.
     """
     age = compute_age(board, periodic_read.updater.kind)
     if age <= periodic_read.bound * _choose_first_age(board):
-        # It is nobody's turn yet, and whose it is takes a look at all peers.
+        # No router is due yet, and to find out which one is iterates over all
+        # peers.
         return False
     return age > periodic_read.bound * _choose_age(board)
 
 
 def _choose_age(board: ServingBoard) -> float:
-    """Choose when it is this router's turn to read.
+    """Choose the age at which this router lists.
 
     :param board: the blackboard.
-    :returns: part of the bound.
+    :returns: fraction of the bound.
     """
     before = (
         peer
         for peer in list_live_peers(board)
         if peer.card.instance < board.settings.name
     )
-    counted = sum(1 for _ in itertools.islice(before, _MAX_TURNS))
-    return min(1, _choose_first_age(board) + NEXT_AGE * counted)
+    counted = sum(1 for _ in itertools.islice(before, _MAX_PRECEDING))
+    return min(1, _choose_first_age(board) + NEXT_AGE_SHARE * counted)
 
 
 def _choose_first_age(board: ServingBoard) -> float:
-    return FIRST_AGE_IN_LARGE_FLEET if is_large_fleet(board) else FIRST_AGE
+    return (
+        FIRST_AGE_SHARE_IN_LARGE_FLEET
+        if is_large_fleet(board)
+        else FIRST_AGE_SHARE
+    )
 
 
 async def _read(
@@ -110,12 +117,12 @@
         listing = await store.list_kind(updater.kind)
     except PlatformError as error:
         record_store_failure(board, updater.kind, error)
-        await asyncio.sleep(RETRY_PAUSE)
+        await asyncio.sleep(RETRY_PAUSE_S)
         return
     finally:
         board.read_started_at.pop(updater.kind, None)
     record_store_answer(board, updater.kind)
     if listing.revision >= board.revisions.get(updater.kind, 0):
-        # Else a watch or a peer told more while this was under way.
+        # Otherwise a watch or a peer has applied newer changes meanwhile.
         apply_listing(updater, listing)
     board.last_read_at[updater.kind] = started
--- a/src/dykemast/_internal/serving/knowledge/server_entries.py
+++ b/src/dykemast/_internal/serving/knowledge/server_entries.py
@@ -1,4 +1,4 @@
-"""Follow the entries of backend servers."""
+"""Apply the entries of backend servers."""
 
 import zlib
 from collections.abc import Iterable
@@ -20,16 +20,15 @@
 from dykemast._internal.serving.knowledge.updates import Updater
 from dykemast._internal.serving.state.board import ServingBoard
 
-#: Seconds in which changes of servers gather; a leaving one may get requests
-#: for 2 s.
-WATCH_PAUSE: Final = 0.3
+#: Batches changes into one call; a leaving server may get requests for 2 s.
+WATCH_PAUSE_S: Final = 0.3
 
 
 def make_updater(board: ServingBoard) -> Updater:
-    """Make what follows the entries of backend servers.
+    """Make the updater for entries of backend servers.
 
     :param board: the blackboard.
-    :returns: the follower.
+    :returns: the updater.
     """
 
     def apply_object(stored: StoreObject) -> None:
@@ -53,7 +52,7 @@
 
     def remove_invalid(server_id: str) -> None:
         if board.server_objects.pop(server_id, None):
-            # Something else stands where its entry was, so it did not lapse.
+            # Another object has replaced the entry, so it did not expire.
             remove_server(board, board.server_starts[server_id].name)
 
     def remove_missing(names: set[str]) -> None:
@@ -72,19 +71,19 @@
         remove_object,
         remove_invalid,
         record_revision,
-        WATCH_PAUSE,
+        WATCH_PAUSE_S,
         told={},
     )
 
 
 def _is_new(board: ServingBoard, stored: StoreObject) -> bool:
-    # An entry that is read again tells how cold its server was when it was
-    # written, not now.
+    # An unchanged entry tells how cold its server was when it was written,
+    # not now.
     known = board.server_objects.get(stored.name)
     return known is None or known.revision != stored.revision
 
 
 def _digest(entries: Iterable[StoreObject]) -> int:
-    """Digest names and revisions, by which two routers see that they agree."""
+    """Compute a digest by which two routers compare their lists."""
     texts = sorted(f'{one.name}:{one.revision}' for one in entries)
     return zlib.crc32('\n'.join(texts).encode())
--- a/src/dykemast/_internal/serving/knowledge/server_lists.py
+++ b/src/dykemast/_internal/serving/knowledge/server_lists.py
@@ -1,4 +1,4 @@
-"""Pass the list of backend servers from router to router."""
+"""Exchange the list of backend servers between routers."""
 
 from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.models.gossip import ListState
@@ -13,22 +13,22 @@
 
 
 def is_behind(board: ServingBoard, state: ListState) -> bool:
-    """Tell whether a peer knows a newer list that differs.
+    """Tell whether a peer has a newer list with other contents.
 
     :param board: the blackboard.
-    :param state: what the peer knows.
-    :returns: whether it should be fetched.
+    :param state: revision and digest of the peer's list.
+    :returns: whether the list should be fetched.
     """
     own = board.server_state
     return state.revision > own.revision and state.digest != own.digest
 
 
 def encode_newer(board: ServingBoard, above: int) -> bytes:
-    """Write the list for a peer.
+    """Encode the list for a peer.
 
     :param board: the blackboard.
-    :param above: revision that the peer knows.
-    :returns: the body; empty when this router knows no newer one.
+    :param above: revision of the peer's list.
+    :returns: the packed listing; empty when this router has no newer one.
     """
     revision = board.server_state.revision
     if revision <= above:
@@ -38,13 +38,13 @@
 
 
 def apply_peer_copy(board: ServingBoard, body: bytes, peer: str) -> None:
-    """Take a peer's list if it is newer.
+    """Apply a peer's list if it is newer.
 
-    One that makes no sense is logged; the list before stays in force.
+    An invalid one is logged, and the current list stays in force.
 
     :param board: the blackboard.
-    :param body: as the peer wrote it.
-    :param peer: its instance.
+    :param body: the packed listing.
+    :param peer: instance of the peer.
     """
     try:
         listing = unpack(body, Listing)
--- a/src/dykemast/_internal/serving/knowledge/store_state.py
+++ b/src/dykemast/_internal/serving/knowledge/store_state.py
@@ -1,4 +1,4 @@
-"""Whether the store answers this router."""
+"""Track whether the store answers this router."""
 
 from dykemast._internal.exceptions import PlatformError
 from dykemast._internal.serving.state.board import ServingBoard
@@ -11,11 +11,11 @@
 def record_store_failure(
     board: ServingBoard, kind: str, error: PlatformError
 ) -> None:
-    """Take note that a call failed.
+    """Record that a call to the store failed.
 
     :param board: the blackboard.
-    :param kind: the kind of objects that it was about.
-    :param error: how it failed.
+    :param kind: kind of the objects that were requested.
+    :param error: why it failed.
     """
     if not board.store_unavailable_since:
         board.store_unavailable_since = read_clock()
@@ -23,10 +23,10 @@
 
 
 def record_store_answer(board: ServingBoard, kind: str) -> None:
-    """Take note that a call was answered.
+    """Record that a call to the store was answered.
 
     :param board: the blackboard.
-    :param kind: the kind of objects that it was about.
+    :param kind: kind of the objects that were requested.
     """
     if board.store_unavailable_since:
         away = read_clock() - board.store_unavailable_since
--- a/src/dykemast/_internal/serving/knowledge/updates.py
+++ b/src/dykemast/_internal/serving/knowledge/updates.py
@@ -1,4 +1,4 @@
-"""What is done with the objects of one kind."""
+"""Apply listings and changes of store objects to the blackboard."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -15,20 +15,20 @@
 
 
 class Updater(NamedTuple):
-    """What to do with objects of a kind.
+    """Callbacks that apply the objects of one kind.
 
-    :param kind: the kind.
+    :param kind: kind of the objects.
     :param apply_object: called for each object that is new or changed.
-    :param remove_missing: called with the names of all objects after a listing.
+    :param remove_missing: called with the names of all objects after a
+        listing, to remove all others.
     :param remove_object: called with the name of an object that is gone.
-    :param remove_invalid: called with the name of an object that makes no
-        sense (any more).
-    :param record_revision: called with the store's revision up to which all
-        changes have been taken.
-    :param pause: seconds after an answer of a watch in which further changes
-        gather, so that many of them make one call.
-    :param told: revisions of objects that were told to make no sense, by
-        name: one that nobody mends would be told at each read.
+    :param remove_invalid: called with the name of an invalid object.
+    :param record_revision: called with the revision of the store up to which
+        all changes are applied.
+    :param pause: seconds to wait after an answer of a watch, so that the next
+        call batches several changes.
+    :param told: revisions of invalid objects that are logged already, by
+        name: otherwise each listing would log an uncorrected object again.
     """
 
     kind: str
@@ -42,13 +42,13 @@
 
 
 def apply_listing(updater: Updater, listing: Listing) -> None:
-    """Take what a listing shows.
+    """Apply a full listing.
 
-    :param updater: what to do with the objects.
+    :param updater: callbacks for the objects.
     :param listing: all objects of its kind.
     """
     for stored in listing.found:
-        _take(updater, stored)
+        _apply(updater, stored)
     names = {one.name for one in listing.found}
     updater.remove_missing(names)
     for name in updater.told.keys() - names:
@@ -57,9 +57,9 @@
 
 
 def apply_changes(updater: Updater, changes: Changes) -> None:
-    """Take what a watch tells.
+    """Apply the changes that a watch returned.
 
-    :param updater: what to do with the objects.
+    :param updater: callbacks for the objects.
     :param changes: changes of its kind.
     """
     for event in changes.events:
@@ -67,19 +67,19 @@
             updater.told.pop(event.changed.name, None)
             updater.remove_object(event.changed.name)
         else:
-            _take(updater, event.changed)
+            _apply(updater, event.changed)
     updater.record_revision(changes.revision)
 
 
-def _take(updater: Updater, stored: StoreObject) -> None:
+def _apply(updater: Updater, stored: StoreObject) -> None:
     try:
         updater.apply_object(stored)
     except InvalidDataError as error:
         updater.remove_invalid(stored.name)
-        _tell_unusable(updater, stored, error)
+        _log_invalid(updater, stored, error)
 
 
-def _tell_unusable(
+def _log_invalid(
     updater: Updater,
     stored: StoreObject,
     error: InvalidDataError,
--- a/src/dykemast/_internal/serving/knowledge/watches.py
+++ b/src/dykemast/_internal/serving/knowledge/watches.py
@@ -1,8 +1,8 @@
-"""Follow the objects of one kind in the store.
+"""Watch the objects of one kind in the store.
 
-Each answer of a watch is a priced call, so that a change would cost as many
-calls as there are routers. A few of them watch, and all others learn by news
-(``serving.gossip``); ``serving.freshness`` bounds how late that may be.
+Each answer of a watch is a billed call, so a change would cost one call per
+router. Only a few routers watch, and the others learn of changes by gossip
+(``members.gossip``); ``knowledge.periodic_reads`` bounds the delay.
 """
 
 import asyncio
@@ -26,19 +26,19 @@
 
 _log = make_logger('store')
 
-#: Routers that watch a kind. Any one would do; two of them, as one may be cut
-#: off from the store and still be heard by peers. If both are, a change is
-#: known by the reads that bound the age of all knowledge.
+#: One watcher would do; a second covers the case that one cannot reach the
+#: store while its peers still count it as live. If both cannot, periodic
+#: listings find the change.
 MAX_WATCHERS: Final = 2
 #: Seconds until peers are known when all routers start at the same time: the
-#: list of them is read anew after 1.5 s.
-MEETING_TIME: Final = 2.0
-#: Seconds between two looks whether this router should watch: less than the
-#: time after which a watcher that is gone counts as silent.
-TURN_PAUSE: Final = 1.0
-#: Seconds before the first try after a failure, and at most.
-FIRST_PAUSE: Final = 0.1
-MAX_PAUSE: Final = 0.5
+#: list of routers is read again after 1.5 s.
+PEER_DISCOVERY_S: Final = 2.0
+#: Seconds between two checks whether this router is a watcher: less than the
+#: time after which a stopped watcher counts as silent.
+WATCHER_CHECK_INTERVAL_S: Final = 1.0
+#: Seconds of backoff after the first failure, and at most.
+MIN_BACKOFF_S: Final = 0.1
+MAX_BACKOFF_S: Final = 0.5
 
 
 async def watch_kind(
@@ -46,50 +46,50 @@
     store: ObjectStore,
     updater: Updater,
 ) -> None:
-    """Watch a kind whenever it is this router's turn, for ever.
+    """Watch a kind while this router is one of its watchers; never returns.
 
-    The first listing is read by ``serving.freshness``. What is known stays
+    ``knowledge.periodic_reads`` makes the first listing. The local copy stays
     in force while the store does not answer.
 
     :param board: the blackboard.
     :param store: the object store.
-    :param updater: what to do with the objects.
+    :param updater: callbacks for the objects.
     """
-    pause = FIRST_PAUSE
+    pause = MIN_BACKOFF_S
     await _wait_for_peers(board)
     while True:
-        await _wait_for_turn(board, updater.kind)
+        await _wait_until_watcher(board, updater.kind)
         try:
-            await _advance(board, store, updater)
+            await _watch_once(board, store, updater)
         except HistoryLostError as error:
             _log('history_lost', kind=updater.kind, reason=str(error))
             board.revisions.pop(updater.kind, None)
         except PlatformError as error:
             record_store_failure(board, updater.kind, error)
             await asyncio.sleep(pause * random.uniform(1, 2))
-            pause = min(MAX_PAUSE, 2 * pause)
+            pause = min(MAX_BACKOFF_S, 2 * pause)
         else:
             record_store_answer(board, updater.kind)
-            pause = FIRST_PAUSE
+            pause = MIN_BACKOFF_S
 
 
 async def _wait_for_peers(board: ServingBoard) -> None:
-    # While no peer is known, every router would watch.
+    # While no peer is known, every router is a watcher.
     if board.settings.first_start:
-        await asyncio.sleep(MEETING_TIME)
+        await asyncio.sleep(PEER_DISCOVERY_S)
     await board.peers_read.wait()
 
 
-async def _wait_for_turn(board: ServingBoard, kind: str) -> None:
+async def _wait_until_watcher(board: ServingBoard, kind: str) -> None:
     while not is_watcher(board, kind):
-        await asyncio.sleep(TURN_PAUSE)
+        await asyncio.sleep(WATCHER_CHECK_INTERVAL_S)
 
 
 def is_watcher(board: ServingBoard, kind: str) -> bool:
-    """Tell whether this router is one of those that watch a kind.
+    """Tell whether this router is one of the watchers of a kind.
 
     :param board: the blackboard.
-    :param kind: the kind.
+    :param kind: kind of the objects.
     :returns: whether it is.
     """
     heard = [peer.card.instance for peer in list_live_peers(board)]
@@ -98,7 +98,7 @@
     return board.settings.name in watchers
 
 
-async def _advance(
+async def _watch_once(
     board: ServingBoard,
     store: ObjectStore,
     updater: Updater,
@@ -109,6 +109,6 @@
         return
     changes = await store.watch(updater.kind, revision)
     if changes.revision >= board.revisions.get(updater.kind, 0):
-        # Else a read told more while this watch was waiting.
+        # Otherwise a listing has applied newer changes in the meantime.
         apply_changes(updater, changes)
     await asyncio.sleep(updater.pause)
--- a/src/dykemast/_internal/serving/members/__init__.py
+++ b/src/dykemast/_internal/serving/members/__init__.py
@@ -1,5 +1,5 @@
-"""Other routers: who is there, and what they tell.
+"""Membership of the fleet, and gossip between routers.
 
-In: entries in the store and exchanged news. Out: peers, their loads, strain
-and age of knowledge, on the blackboard; calls to one peer.
+Input: entries in the store and gossip messages. Output: peers, their loads and
+the age of their copies of the store, on the blackboard; calls to a peer.
 """
--- a/src/dykemast/_internal/serving/members/entry_ttl.py
+++ b/src/dykemast/_internal/serving/members/entry_ttl.py
@@ -1,18 +1,18 @@
-"""For how long callers may keep an entry answer."""
+"""How long callers may cache an entry answer."""
 
 from typing import Final
 
 from dykemast._internal.serving.state.board import ServingBoard
 
-#: Seconds for which callers may keep an entry answer: long enough that they
-#: ask seldom, short enough that a stopped router is left in time.
-ENTRY_TTL: Final = 1.5
+#: Long enough that callers ask rarely, short enough that they leave a router
+#: that stops in time.
+ENTRY_TTL_S: Final = 1.5
 
 
 def compute_entry_ttl(board: ServingBoard) -> float:
-    """Tell for how long callers may keep an entry answer.
+    """Compute how long callers may cache an entry answer.
 
     :param board: the blackboard.
     :returns: seconds.
     """
-    return min(ENTRY_TTL, board.settings.bounds.max_entry_ttl)
+    return min(ENTRY_TTL_S, board.settings.bounds.max_entry_ttl)
--- a/src/dykemast/_internal/serving/members/gossip.py
+++ b/src/dykemast/_internal/serving/members/gossip.py
@@ -1,4 +1,4 @@
-"""Calls to other routers, and the exchange of news with them."""
+"""Calls to other routers, and the exchange of gossip messages with them."""
 
 import asyncio
 from typing import Any, Final
@@ -23,19 +23,19 @@
 
 _log = make_logger('gossip')
 
-#: Seconds to wait for a peer: links take 1 ms, a busy process some ten.
+#: Links take 1 ms, and a busy process about 10 ms.
 CALL_TIMEOUT_S: Final = 0.4
 
 
 class Gossip:
-    """Exchange of news between routers.
+    """Exchange of gossip messages between routers.
 
     :param board: the blackboard.
-    :param messages: writes and takes news.
+    :param messages: builds and applies messages.
     """
 
     def __init__(self, board: ServingBoard, messages: GossipMessages) -> None:
-        """Know nobody yet."""
+        """Create the client; no connection is opened yet."""
         self._board = board
         self._peer_news = messages
         self._client = PeerClient(None, Fleet)
@@ -44,26 +44,26 @@
         self,
         card: PeerCard,
         method: str,
-        *words: Any,
+        *arguments: Any,
         timeout: float = CALL_TIMEOUT_S,
     ) -> Any:
         """Call a peer.
 
         :param card: the peer.
         :param method: name of the call in the interface definition.
-        :param words: its arguments.
-        :param timeout: seconds to wait.
+        :param arguments: its arguments.
+        :param timeout: seconds to wait for the answer.
         :returns: the answer.
-        :raises PeerError: when there was none, or it was refused.
+        :raises PeerError: when the call was not answered or was refused.
         """
-        return await self._client.call(card, method, words, timeout)
+        return await self._client.call(card, method, arguments, timeout)
 
     def close(self) -> None:
         """Close all connections to peers."""
         self._client.close()
 
     async def exchange_with(self, peer: Peer) -> None:
-        """Exchange news with a peer; a failure is logged.
+        """Exchange messages with a peer; a failure is logged.
 
         :param peer: the peer.
         """
@@ -74,7 +74,7 @@
                 peer.card, 'exchange', self._peer_news.build_message()
             )
         except PeerError as error:
-            _note_lost(self._board, peer, error)
+            _log_lost(self._board, peer, error)
             return
         message = self._peer_news.apply_message(body)
         if message:
@@ -82,32 +82,32 @@
 
 
 async def run_gossip(board: ServingBoard, gossip: Gossip) -> None:
-    """Exchange news with peers, for ever.
+    """Exchange messages with peers in rounds; never returns.
 
-    A round does not wait for the one before: a peer that is gone answers
-    after 0.4 s at the earliest, and as each round tries one that is silent,
-    news went round at a third of their pace while any peer was away.
+    A round does not wait for the previous one: each tries a silent peer, whose
+    call fails after 0.4 s at the earliest. Waiting for it would slow gossip to
+    a third of its pace while any peer is unreachable.
 
     :param board: the blackboard.
-    :param gossip: exchanges news.
+    :param gossip: exchanges the messages.
     """
-    async with asyncio.TaskGroup() as talks:
+    async with asyncio.TaskGroup() as exchanges:
         while True:
             for peer in choose_partners(board):
-                talks.create_task(gossip.exchange_with(peer))
+                exchanges.create_task(gossip.exchange_with(peer))
             await asyncio.sleep(draw_pause())
 
 
 async def notify_all_peers(board: ServingBoard, gossip: Gossip) -> None:
-    """Tell every peer the news now.
+    """Exchange messages with every peer at once.
 
     :param board: the blackboard.
-    :param gossip: exchanges news.
+    :param gossip: exchanges the messages.
     """
     peers = tuple(board.peers.values())
     await asyncio.gather(*(gossip.exchange_with(peer) for peer in peers))
 
 
-def _note_lost(board: ServingBoard, peer: Peer, error: PeerError) -> None:
+def _log_lost(board: ServingBoard, peer: Peer, error: PeerError) -> None:
     if mark_silent(board, peer):
         _log('peer_lost', peer=peer.card.instance, reason=str(error))
--- a/src/dykemast/_internal/serving/members/gossip_messages.py
+++ b/src/dykemast/_internal/serving/members/gossip_messages.py
@@ -1,10 +1,10 @@
-"""News of this router, and what is taken from those of others."""
+"""Gossip messages: built by this router, applied from others."""
 
 from dykemast._internal.exceptions import InvalidDataError
 from dykemast._internal.models.gossip import GossipMessage, RelayedLoads
 from dykemast._internal.serving.knowledge import ages, backends
 from dykemast._internal.serving.knowledge.evacuations import apply_evacuations
-from dykemast._internal.serving.members import members, load_measurement
+from dykemast._internal.serving.members import load_measurement, members
 from dykemast._internal.serving.state.board import ServingBoard, is_silent
 from dykemast._internal.serving.state.fleet_size import is_large_fleet
 from dykemast._internal.serving.state.loads import Loads
@@ -20,21 +20,21 @@
 
 
 class GossipMessages:
-    """Writes this router's news and takes those of others.
+    """Builds this router's messages and applies those of others.
 
     :param board: the blackboard.
     :param loads: requests at backend servers.
     """
 
     def __init__(self, board: ServingBoard, loads: Loads) -> None:
-        """Keep both."""
+        """Refer to the state that messages report and change."""
         self._board = board
         self._loads = loads
 
     def build_message(self) -> bytes:
-        """Write this router's news.
+        """Build this router's message.
 
-        :returns: their body.
+        :returns: the packed message.
         """
         message = GossipMessage(
             card=self._board.make_card(),
@@ -52,29 +52,29 @@
             budget_write_failed=self._board.budget_write_failed,
             limits=self._board.backpressure.limits.export(read_clock()),
         )
-        # Packed to half, for little processor time: news are most of what
-        # passes between halls in calm.
+        # Fast compression halves the size for little processor time: messages
+        # are most of the traffic between halls when there are few requests.
         return pack(message, FAST_COMPRESSION)
 
     def apply_message(self, body: bytes) -> GossipMessage | None:
-        """Take a peer's news; those that make no sense are logged.
+        """Apply a peer's message; an invalid one is logged.
 
         The ages in it are used only where it answers a call
         (``record_peer_ages``): how long ago an unrequested message was
         written is not known.
 
-        :param body: as it wrote them.
-        :returns: the news; None when they are of no use.
+        :param body: the packed message.
+        :returns: the message; None when it is invalid.
         """
         try:
             message = unpack(body, GossipMessage)
         except InvalidDataError as error:
             _log('news_not_usable', reason=str(error))
             return None
-        self._take(message)
+        self._apply(message)
         return message
 
-    def _take(self, message: GossipMessage) -> None:
+    def _apply(self, message: GossipMessage) -> None:
         card = message.card
         members.record_peer(self._board, card)
         peer = self._board.peers.get(card.instance)
@@ -87,15 +87,15 @@
         peer.last_exchange_at = peer.last_heard_at
         peer.router_load = message.router_load
         peer.budget_write_failed = message.budget_write_failed
-        self._take_servers(message, peer.last_heard_at)
-        self._take_loads(message, peer.last_heard_at)
+        self._apply_servers(message, peer.last_heard_at)
+        self._apply_loads(message, peer.last_heard_at)
         self._board.newest_peer_version = max(
             self._board.newest_peer_version, card.revision
         )
         apply_crash_gossip(self._board, message.crashes, card.instance)
         apply_evacuations(self._board, message.evacuations, card.instance)
 
-    def _take_servers(self, message: GossipMessage, now: float) -> None:
+    def _apply_servers(self, message: GossipMessage, now: float) -> None:
         source = message.card.instance
         backends.mark_leaving(self._board, message.leaving, source)
         self._board.backpressure.limits.merge(message.limits, now)
@@ -103,7 +103,7 @@
         self._loads.absent.merge(message.absent, now)
         self._loads.pauses.merge(source, message.pauses, now)
 
-    def _take_loads(self, message: GossipMessage, now: float) -> None:
+    def _apply_loads(self, message: GossipMessage, now: float) -> None:
         loads = self._loads.peers
         loads.merge(message.card.instance, message.loads, now)
         loads.merge_relayed(message.relayed, self._board.settings.name, now)
@@ -114,6 +114,6 @@
 
     def _relay(self) -> tuple[RelayedLoads, ...]:
         if not is_large_fleet(self._board):
-            # Every router hears of all others in each round.
+            # Each router exchanges messages with all others in each round.
             return ()
         return self._loads.peers.export_recent(read_clock())
--- a/src/dykemast/_internal/serving/members/gossip_partners.py
+++ b/src/dykemast/_internal/serving/members/gossip_partners.py
@@ -1,4 +1,4 @@
-"""Which peers a router exchanges news with in one round."""
+"""Choice of the peers of a gossip round."""
 
 import random
 from typing import Final
@@ -7,18 +7,18 @@
 from dykemast._internal.serving.state.fleet_size import is_large_fleet
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds between two rounds of news, and how far a round may be off.
+#: Seconds between two gossip rounds, and the deviation from it at most.
 ROUND_INTERVAL_S: Final = 0.2
 ROUND_JITTER_S: Final = 0.04
-#: Peers told in one round at most, so that the work of a router stays the
-#: same however many there are. In a large fleet, where peers pass on what
-#: they heard, three are enough; each takes processor time here and there.
-PEERS_A_ROUND: Final = 8
-PEERS_IN_LARGE_FLEET: Final = 3
+#: Peers of one round at most, so that the work of a router does not grow with
+#: the fleet. In a large fleet peers relay what they heard, so three are enough;
+#: each exchange takes processor time on both sides.
+MAX_PEERS_PER_ROUND: Final = 8
+MAX_PEERS_IN_LARGE_FLEET: Final = 3
 
 
 def draw_pause() -> float:
-    """Draw how long to wait until the next round.
+    """Draw the pause until the next round.
 
     :returns: seconds.
     """
@@ -26,19 +26,23 @@
 
 
 def choose_partners(board: ServingBoard) -> list[Peer]:
-    """Choose the peers of a round: who was told longest ago, and a silent one.
+    """Choose the peers of the least recent exchanges, and a silent one.
 
-    Each exchange goes both ways, so whoever is first saves the other.
+    An exchange goes both ways, so the peer need not start one as well.
 
     :param board: the blackboard.
     :returns: the peers.
     """
-    count = PEERS_IN_LARGE_FLEET if is_large_fleet(board) else PEERS_A_ROUND
+    count = (
+        MAX_PEERS_IN_LARGE_FLEET
+        if is_large_fleet(board)
+        else MAX_PEERS_PER_ROUND
+    )
     limit = read_clock() - ROUND_INTERVAL_S
     due = [
         peer for peer in board.peers.values() if peer.last_exchange_at < limit
     ]
-    due.sort(key=_read_meeting)
+    due.sort(key=_get_last_exchange)
     heard = [peer for peer in due if not is_silent(board, peer)]
     tried = _draw_silent(board, due, count - len(heard))
     return tried + heard[: count - len(tried)]
@@ -50,10 +54,10 @@
     room: int,
 ) -> list[Peer]:
     silent = [peer for peer in due if is_silent(board, peer)]
-    # One of them at least, as it may be back.
+    # At least one of them, since it may have returned.
     count = max(1, room)
     return random.sample(silent, min(count, len(silent)))
 
 
-def _read_meeting(peer: Peer) -> float:
+def _get_last_exchange(peer: Peer) -> float:
     return peer.last_exchange_at
--- a/src/dykemast/_internal/serving/members/load_measurement.py
+++ b/src/dykemast/_internal/serving/members/load_measurement.py
@@ -1,4 +1,4 @@
-"""How much comes to this router, against what its instance carries."""
+"""Request rate of this router, compared to its capacity."""
 
 from typing import Final
 
@@ -6,41 +6,43 @@
 from dykemast._internal.serving.state.board import ServingBoard, list_live_peers
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds of a common core that a request takes, its events included.
-REQUEST_WORK: Final = 0.007
-#: Bytes that a request takes on the link each way: prompt and answer, header
-#: fields and the frames of events.
+#: Seconds of a common core that a request takes, with the events of its answer.
+REQUEST_CORE_S: Final = 0.007
+#: Bytes of a request on the link each way: prompt and answer, header fields
+#: and the framing of events.
 REQUEST_BYTES: Final = 8000
-#: Part of the processor or link that requests may take before they wait for
-#: each other: they come in bursts of three times the mean.
-BUSY_SHARE: Final = 0.4
-#: Times what it carries that an overloaded router tells to get at least.
+#: Fraction of the processor or link that requests may use before they queue:
+#: they arrive in bursts of three times the mean rate.
+USABLE_SHARE: Final = 0.4
+#: Lowest rate that an overloaded router reports, as a multiple of its capacity.
 OVERLOAD_FACTOR: Final = 1.5
 
 
 def measure_router_load(board: ServingBoard) -> RouterLoad:
-    """Measure what comes to this router.
+    """Measure the load of this router.
 
     :param board: the blackboard.
-    :returns: its strain.
+    :returns: its request rate and capacity.
     """
-    given = board.settings.capacity
-    most = min(given.cores / REQUEST_WORK, given.link / REQUEST_BYTES)
+    resources = board.settings.capacity
+    max_rate = min(
+        resources.cores / REQUEST_CORE_S, resources.link / REQUEST_BYTES
+    )
     now = read_clock()
-    carried = BUSY_SHARE * most
+    carried = USABLE_SHARE * max_rate
     rate = board.arrivals.compute_rate(now)
     if board.watch.is_overloaded(now):
-        # What waits unread is not counted yet, and the estimate of what a
-        # request takes is too low for what comes.
+        # Requests that are not read yet are not counted, and the estimated
+        # work of a request is too low for the current ones.
         rate = max(rate, OVERLOAD_FACTOR * carried)
     return RouterLoad(round(carried, 1), round(rate, 1))
 
 
 def has_peer_with_capacity(board: ServingBoard) -> bool:
-    """Tell whether another router that is heard gets no more than it carries.
+    """Tell whether the load of another live router is within its capacity.
 
     :param board: the blackboard.
-    :returns: whether there is one.
+    :returns: whether there is such a router.
     """
     return any(
         not peer.router_load.exceeds_capacity()
@@ -49,14 +51,14 @@
 
 
 def should_close_connections(board: ServingBoard) -> bool:
-    """Tell whether callers should leave the connections they have here.
+    """Tell whether to close the connections of callers.
 
-    They choose an address when they open a connection, and those that send
-    many requests over one would stay although others carry more. If all get
-    too much, closing would only add work.
+    Callers choose a router when they open a connection, so those that send
+    many requests over one would stay here although other routers have spare
+    capacity. If all routers are overloaded, closing would only add work.
 
     :param board: the blackboard.
-    :returns: whether they should.
+    :returns: whether to close them.
     """
     if board.stopping:
         return True
--- a/src/dykemast/_internal/serving/members/members.py
+++ b/src/dykemast/_internal/serving/members/members.py
@@ -1,4 +1,4 @@
-"""Routers find each other through the store."""
+"""Discovery of routers through their entries in the store."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -18,48 +18,53 @@
 
 _log = make_logger('members')
 
-#: Seconds between two tries to list this router.
+#: Seconds between two attempts to write or remove the own entry.
 RETRY_PAUSE_S: Final = 0.5
-#: Seconds until all routers that start together are listed.
+#: Seconds until all routers that start together have written their entries.
 START_PAUSE_S: Final = 1.5
-#: Seconds between two reads of the list later on: each is a priced call, and
-#: silence of a router that left is noticed without it.
-READ_PAUSE: Final = 15.0
-#: Seconds a peer by which that is longer, so that the calls of a large fleet
-#: are no more than those of a small one.
-READ_PAUSE_PER_PEER: Final = 2.0
+#: Seconds between two later listings: each is a billed call, and a router that
+#: left is noticed by its silence.
+REFRESH_INTERVAL_S: Final = 15.0
+#: Seconds per peer, if that gives a longer interval, so that a large fleet
+#: makes no more calls than a small one.
+REFRESH_INTERVAL_PER_PEER_S: Final = 2.0
 
 
 async def keep_registered(board: ServingBoard, store: ObjectStore) -> None:
-    """List this router in the store, and read who else is listed, for ever.
+    """Register this router in the store and refresh its peers; never returns.
 
-    Whoever starts later meets all others by news; so reading is needed for
-    those that start at the same time, and to forget those that left.
+    A router that starts later reaches all others by gossip. Listings are
+    needed for routers that start at the same time, and to remove those that
+    left.
 
     :param board: the blackboard.
     :param store: the object store.
     """
-    await _list_in_time(board, store)
+    await _register_with_retries(board, store)
     if board.settings.first_start:
-        # Later on those that start together find each other's old entries.
-        await _try(refresh_peers(board, store))
+        # At later starts the entries of the previous processes are listed.
+        await _run_logged(refresh_peers(board, store))
         await asyncio.sleep(START_PAUSE_S)
     while True:
-        await _try(refresh_peers(board, store))
-        per_peer = READ_PAUSE_PER_PEER * len(board.peers)
-        await asyncio.sleep(max(READ_PAUSE, per_peer))
+        await _run_logged(refresh_peers(board, store))
+        per_peer = REFRESH_INTERVAL_PER_PEER_S * len(board.peers)
+        await asyncio.sleep(max(REFRESH_INTERVAL_S, per_peer))
 
 
-async def _list_in_time(board: ServingBoard, store: ObjectStore) -> None:
-    while not board.stopping and not await _try(register_self(board, store)):
+async def _register_with_retries(
+    board: ServingBoard, store: ObjectStore
+) -> None:
+    while not board.stopping and not await _run_logged(
+        register_self(board, store)
+    ):
         await asyncio.sleep(RETRY_PAUSE_S)
 
 
 def record_peer(board: ServingBoard, card: PeerCard) -> None:
-    """Take note of another router, or of its new process.
+    """Record another router, or its new process.
 
     :param board: the blackboard.
-    :param card: what it tells about itself.
+    :param card: its description of itself.
     """
     if card.instance == board.settings.name:
         return
@@ -74,33 +79,33 @@
 
 
 async def refresh_peers(board: ServingBoard, store: ObjectStore) -> None:
-    """Read which routers are listed, and forget those that are not.
+    """List the registered routers, and remove peers that are not registered.
 
     :param board: the blackboard.
     :param store: the object store.
-    :raises PlatformError: when it failed.
+    :raises PlatformError: when a call to the store failed.
     """
     listing = await store.list_kind(MEMBER_KIND)
     for stored in listing.found:
-        _meet_listed(board, stored)
+        _record_listed(board, stored)
     board.peers_read.set()
     listed = {one.name for one in listing.found}
     if board.settings.name not in listed and not board.stopping:
-        # A removal by the process before may take effect late.
+        # A deletion by the previous process may take effect late.
         await register_self(board, store)
     for name in set(board.peers) - listed:
         board.peers.pop(name)
         _log('peer_gone', peer=name)
 
 
-def _meet_listed(board: ServingBoard, stored: StoreObject) -> None:
+def _record_listed(board: ServingBoard, stored: StoreObject) -> None:
     try:
         record_peer(board, decode_card(stored))
     except InvalidDataError as error:
         _log('member_not_usable', name=stored.name, reason=str(error))
 
 
-async def _try(work: Coroutine[Any, Any, None]) -> bool:
+async def _run_logged(work: Coroutine[Any, Any, None]) -> bool:
     try:
         await work
     except PlatformError as error:
@@ -110,11 +115,11 @@
 
 
 async def deregister_self(board: ServingBoard, store: ObjectStore) -> None:
-    """Remove this router's own entry, however long the store is away.
+    """Remove this router's own entry; retries until the store answers.
 
     :param board: the blackboard.
     :param store: the object store.
     """
-    # Until then, peers pass over a router that does not answer.
-    while not await _try(store.delete(MEMBER_KIND, board.settings.name)):
+    # Until then, peers skip this router because it does not answer.
+    while not await _run_logged(store.delete(MEMBER_KIND, board.settings.name)):
         await asyncio.sleep(RETRY_PAUSE_S)
--- a/src/dykemast/_internal/serving/members/own_entry.py
+++ b/src/dykemast/_internal/serving/members/own_entry.py
@@ -12,19 +12,20 @@
 from dykemast._internal.platform.store_types import ANY_REVISION, StoreObject
 from dykemast._internal.serving.state.board import ServingBoard
 
-#: Kind of the objects in which routers list themselves.
+#: Kind of the objects by which routers register.
 MEMBER_KIND: Final = 'dykemast-routers'
 
 
 async def register_self(board: ServingBoard, store: ObjectStore) -> None:
     """Write this router's own entry.
 
-    There mostly is the entry of the process before on this instance, unless
-    all start for the first time; so one call is enough for most restarts.
+    At a restart the entry of the previous process usually exists, and at the
+    first start of all routers it does not. Trying the likely case first makes
+    one call enough for most starts.
 
     :param board: the blackboard.
     :param store: the object store.
-    :raises PlatformError: when it failed.
+    :raises PlatformError: when a call to the store failed.
     """
     card = msgspec.to_builtins(board.make_card())
     created = StoreObject(board.settings.name, 0, card)
--- a/src/dykemast/_internal/serving/members/peer_calls.py
+++ b/src/dykemast/_internal/serving/members/peer_calls.py
@@ -1,4 +1,4 @@
-"""What other routers may call."""
+"""Calls that this router answers to other routers."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple
@@ -11,11 +11,12 @@
 
 
 class TokenCalls(NamedTuple):
-    """Calls about tokens of budgets.
+    """Calls that transfer tokens of budgets.
 
-    :param lend: takes workspace, tokens, borrower, and what that would keep
-        besides; gives tokens away.
-    :param take_back: takes workspace, tokens and giver; takes tokens.
+    :param lend: lends tokens; takes workspace, tokens, borrower, and what the
+        borrower would keep besides.
+    :param take_back: accepts returned tokens; takes workspace, tokens and
+        giver.
     """
 
     lend: Callable[..., Awaitable[int]]
@@ -23,7 +24,7 @@
 
 
 class _Calls(NamedTuple):
-    """Calls by the names of the interface definition."""
+    """Calls by their names in the interface definition."""
 
     exchange: Callable[[bytes], Awaitable[bytes]]
     lend: Callable[..., Awaitable[int]]
@@ -40,9 +41,9 @@
     """Listen for other routers.
 
     :param board: the blackboard.
-    :param messages: writes and takes news.
-    :param token_calls: lend and take tokens.
-    :returns: the listening server, to be closed by its ``close``.
+    :param messages: builds and applies gossip messages.
+    :param token_calls: lend and take back tokens.
+    :returns: the listening server, which the caller closes by its ``close``.
     """
 
     async def exchange(body: bytes) -> bytes:
--- a/src/dykemast/_internal/serving/members/peer_fetches.py
+++ b/src/dykemast/_internal/serving/members/peer_fetches.py
@@ -1,4 +1,4 @@
-"""Fetch from a peer what its news show to be newer than what is known."""
+"""Fetch what a peer has in a newer version, by its gossip message."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final
@@ -19,8 +19,8 @@
 
 _log = make_logger('gossip')
 
-#: Seconds to wait for what may be some 100 KB, over a link of 5 Mbit/s.
-FETCH_TIMEOUT: Final = 1.0
+#: Seconds, enough for an answer of 100 KB over a link of 5 Mbit/s.
+FETCH_TIMEOUT_S: Final = 1.0
 
 #: Calls a peer; takes its card, the call's name, arguments and ``timeout``.
 Call = Callable[..., Awaitable[bytes]]
@@ -32,12 +32,12 @@
     message: GossipMessage,
     asked_at: float,
 ) -> None:
-    """Fetch what a peer knows and this router does not.
+    """Fetch the configuration and servers that are newer at a peer.
 
     :param call: calls a peer.
     :param board: the blackboard.
     :param message: the peer's answer.
-    :param asked_at: seconds at which it was asked.
+    :param asked_at: seconds at which the request was sent.
     """
     card = message.card
     if card.revision > board.get_version():
@@ -58,32 +58,32 @@
 def record_peer_ages(
     board: ServingBoard, message: GossipMessage, asked_at: float
 ) -> None:
-    """Take over when a peer read what this router knows as well.
+    """Record when a peer listed the objects of which this router has a copy.
 
     :param board: the blackboard.
     :param message: the peer's answer.
-    :param asked_at: seconds at which it was asked.
+    :param asked_at: seconds at which the request was sent.
     """
     told = message.ages
     if board.get_version() >= message.card.revision:
-        # Else the newer configuration has to be fetched first.
+        # Otherwise the newer configuration has to be fetched first.
         kind = CONFIGURATION_KIND
         ages.record_peer_age(board, kind, told.get(kind), asked_at)
     if board.server_state.digest == message.servers.digest:
         ages.record_peer_age(
             board, SERVER_KIND, told.get(SERVER_KIND), asked_at
         )
-    # Which halls are emptied stands in the news, and is known by now.
+    # The message contains the evacuated halls, which are applied by now.
     kind = EVACUATION_KIND
     ages.record_peer_age(board, kind, told.get(kind), asked_at)
 
 
 async def _fetch(call: Call, card: PeerCard, method: str, above: int) -> bytes:
-    """Fetch what is newer; empty when there is nothing, or no answer."""
+    """Fetch a newer version; empty when there is none, or no answer."""
     try:
-        return await call(card, method, above, timeout=FETCH_TIMEOUT)
+        return await call(card, method, above, timeout=FETCH_TIMEOUT_S)
     except PeerError as error:
-        # Another peer has it as well, and a read of the store bounds how
-        # late it may be.
+        # Another peer has it as well, and periodic listings of the store
+        # bound the delay.
         _log('not_fetched', peer=card.instance, what=method, reason=str(error))
         return b''
--- a/src/dykemast/_internal/serving/members/peer_links.py
+++ b/src/dykemast/_internal/serving/members/peer_links.py
@@ -1,4 +1,4 @@
-"""Parts that connect a router with others."""
+"""Connections of a router with others."""
 
 from typing import NamedTuple
 
@@ -9,10 +9,10 @@
 
 
 class PeerLinks(NamedTuple):
-    """Parts that connect a router with others.
+    """Objects that connect a router with others.
 
-    :param messages: news of this router.
-    :param gossip: calls to other routers.
+    :param messages: builds and applies gossip messages.
+    :param gossip: calls other routers.
     """
 
     messages: GossipMessages
@@ -20,11 +20,11 @@
 
 
 def link_peers(board: ServingBoard, loads: Loads) -> PeerLinks:
-    """Make the parts; nothing is connected yet.
+    """Make these objects; no connection is opened yet.
 
     :param board: the blackboard.
     :param loads: requests at backend servers.
-    :returns: the parts.
+    :returns: the objects.
     """
     messages = GossipMessages(board, loads)
     return PeerLinks(messages, Gossip(board, messages))
--- a/src/dykemast/_internal/serving/parts.py
+++ b/src/dykemast/_internal/serving/parts.py
@@ -1,4 +1,4 @@
-"""Parts of the program that the way of a request needs."""
+"""Components that the handling of a request shares."""
 
 from functools import partial
 from typing import NamedTuple
@@ -18,16 +18,16 @@
 
 
 class Parts(NamedTuple):
-    """Parts of the program.
+    """Components that the handling of a request shares.
 
     :param board: the blackboard.
     :param budgets: holds tokens.
     :param loads: requests at backend servers.
-    :param trust: how backend servers did.
-    :param retries: allowance for second sends by service.
+    :param trust: recent failures of backend servers.
+    :param retries: retry allowance by service.
     :param upstreams: connections to backend servers.
-    :param turns: what is sent to servers that bear a rate.
-    :param metrics: counters and times.
+    :param turns: schedules requests to servers with a rate limit.
+    :param metrics: counters and histograms.
     """
 
     board: ServingBoard
@@ -41,12 +41,12 @@
 
 
 def make_parts(board: ServingBoard, budgets: Budgets, loads: Loads) -> Parts:
-    """Put together what requests need.
+    """Make the components.
 
     :param board: the blackboard.
     :param budgets: holds tokens.
     :param loads: requests at backend servers.
-    :returns: the parts.
+    :returns: the components.
     """
     return Parts(
         board=board,
--- a/src/dykemast/_internal/serving/state/board.py
+++ b/src/dykemast/_internal/serving/state/board.py
@@ -1,4 +1,4 @@
-"""Blackboard of the program: what its parts know, and who writes it."""
+"""Blackboard: the state that the components of a router share."""
 
 import asyncio
 import dataclasses
@@ -23,27 +23,27 @@
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds since the last news after which a peer counts as silent: several
-#: rounds of news; in a large fleet, where they come over others, some more.
+#: Seconds since the last message after which a peer counts as silent: several
+#: gossip rounds, and more in a large fleet, where other peers relay messages.
 PEER_TIMEOUT_S: Final = 1.5
 PEER_TIMEOUT_PER_PEER_S: Final = 0.03
 MAX_PEER_TIMEOUT_S: Final = 2.5
-#: Seconds over which arriving requests are averaged: callers keep an entry
-#: answer for 1.5 to 4.5 s, so that they follow within some of these.
+#: Seconds over which the request rate is averaged: callers cache an entry
+#: answer for 1.5 to 4.5 s, so they react within a few windows.
 ARRIVAL_WINDOW_S: Final = 2.0
 
 
 @dataclasses.dataclass
 class Peer:
-    """Another router as last heard of.
+    """Another router, as of its last message.
 
-    :param card: what it tells about itself.
+    :param card: its description of itself.
     :param last_heard_at: seconds at which it last sent a message, to this
         router or to one that relayed it; 0 for never.
     :param last_exchange_at: seconds at which it last exchanged messages with
         this router.
-    :param router_load: how much comes to it, as it last told.
-    :param budget_write_failed: whether it could not write budgets then.
+    :param router_load: its request rate and capacity.
+    :param budget_write_failed: whether its last write of a budget failed.
     """
 
     card: PeerCard
@@ -55,66 +55,64 @@
 
 @dataclasses.dataclass
 class ServingBoard:
-    """What the parts of one router share. Each field names its writer.
+    """State that the components of a router share. Each field names its writer.
 
-    :param settings: of this process; ``serving.reload``.
-    :param incarnation: random, fresh for this process start.
+    :param settings: settings of this process; ``serving.reload``.
+    :param incarnation: random id, new at each start of the process.
     :param started_at: seconds at which this process started.
     :param table: configuration in force; ``serving.configuration``.
-    :param table_changed: set when another one came in force;
+    :param table_changed: set when a new configuration comes into force;
         ``serving.configuration``.
-    :param encoded_table: the same, as it came; ``serving.configuration``.
-    :param last_read_at: seconds at which a kind was last read whole, here or
-        at a peer whose message arrived; ``serving.freshness``.
-    :param read_started_at: seconds at which a read of a kind began that is not
-        over; ``serving.freshness``.
+    :param encoded_table: its packed object; ``serving.configuration``.
+    :param last_read_at: seconds at which a kind was last listed, by this router
+        or by a peer with the same copy; ``serving.periodic_reads``.
+    :param read_started_at: seconds at which the current listing of a kind
+        began; ``serving.periodic_reads``.
     :param newest_peer_version: highest version of the configuration that a peer
-        told of; ``serving.gossip``.
-    :param revisions: of the store, by kind, up to which changes are known;
-        ``serving.configuration`` and ``serving.backends``.
-    :param servers: backend servers by the name of their start;
-        ``serving.backends``.
+        has; ``serving.gossip_messages``.
+    :param revisions: of the store, by kind, up to which changes are applied;
+        ``serving.configuration``, ``serving.evacuations`` and
+        ``serving.server_entries``.
+    :param servers: backend servers by incarnation; ``serving.backends``.
     :param server_starts: the same, by id; ``serving.backends``.
     :param server_objects: their entries as the store holds them, by id;
         ``serving.backends``.
-    :param server_state: how far these are known; ``serving.backends``.
+    :param server_state: revision and digest of these;
+        ``serving.server_entries``.
     :param expired_until: seconds until which a server is kept whose entry
         expired while the store was unavailable, by name;
         ``serving.backends``.
-    :param leaving: names of servers that are leaving; only ever grows while
-        they are listed; ``serving.backends`` and ``serving.gossip``.
+    :param leaving: incarnations of servers that are leaving; a name is removed
+        only with its server; ``serving.backends``.
     :param cold_until: seconds until which a server counts as cold, by name;
         ``serving.cold_servers``.
-    :param backpressure: what servers ask for in their answers;
-        ``serving.backpressure``, ``serving.backends`` and ``serving.gossip``.
-    :param evacuations: halls that are being emptied;
-        ``serving.evacuations``.
+    :param backpressure: backpressure of servers; ``serving.backpressure``,
+        ``serving.backends`` and ``serving.gossip_messages``.
+    :param evacuations: evacuated halls; ``serving.evacuations``.
     :param peers: other routers by instance; ``serving.members`` adds and
-        removes them, ``serving.gossip`` hears from them.
+        removes them, ``serving.gossip_messages`` updates them.
     :param peers_read: set when the list of routers was read since the start;
         ``serving.members``.
     :param inflight: requests in progress; ``serving.application``.
-    :param arrivals: requests that came; ``serving.application``.
-    :param stopping: whether this router is about to end;
-        ``serving.planned_stop``.
-    :param stop_plan: how it ends, once it is stopping;
-        ``serving.planned_stop``.
+    :param arrivals: rate of arriving requests; ``serving.application``.
+    :param stopping: whether this router is stopping; ``serving.planned_stop``.
+    :param stop_plan: its plan, while it is stopping; ``serving.planned_stop``.
     :param store_unavailable_since: seconds at which the store stopped
         answering, 0 while it answers; ``serving.store_state``.
     :param budget_write_failed: whether the last write of a budget failed;
         ``serving.ledger_writer``.
-    :param usual_times: how long requests take; ``serving.records`` and
-        ``serving.application``.
-    :param tasks: those of requests that were let in;
+    :param usual_times: durations of requests; ``serving.records`` and
         ``serving.application``.
-    :param watch: when the event loop ran; ``serving.loops``.
+    :param tasks: tasks of admitted requests; ``serving.application``.
+    :param watch: lateness of the event loop; ``serving.loops``.
     :param loops: which loops failed; ``serving.supervision``.
-    :param crashes: servers that ended, and under which requests;
+    :param crashes: servers that crashed, and the requests they ran;
         ``serving.crash_watch``, ``serving.crash_records`` and
         ``serving.gossip``.
-    :param broken: sends that broke off lately; ``serving.crash_watch``.
-    :param quarantined: requests that are not sent; ``serving.quarantines``.
-    :param trials: requests that run alone; ``serving.quarantine``.
+    :param broken: sends that broke off recently; ``serving.crash_watch``.
+    :param quarantined: keys of quarantined requests; ``serving.quarantines``.
+    :param trials: digests of requests that run alone as a trial;
+        ``serving.quarantine``.
     """
 
     settings: InstanceSettings
@@ -176,14 +174,14 @@
     trials: set[str] = dataclasses.field(default_factory=set)
 
     def get_version(self) -> int:
-        """Tell the version of the configuration in force.
+        """Get the version of the configuration in force.
 
         :returns: its version; 0 for none.
         """
         return self.table.version if self.table else 0
 
     def make_card(self) -> PeerCard:
-        """Describe this router to others.
+        """Describe this router for its peers.
 
         :returns: its card.
         """
@@ -202,23 +200,23 @@
 
 
 def is_silent(board: ServingBoard, peer: Peer) -> bool:
-    """Tell whether nothing was heard of a peer for a while.
+    """Tell whether no message of a peer arrived within the timeout.
 
     :param board: the blackboard.
     :param peer: the peer.
     :returns: whether it is silent.
     """
     scaled = PEER_TIMEOUT_PER_PEER_S * len(board.peers)
-    patience = min(MAX_PEER_TIMEOUT_S, max(PEER_TIMEOUT_S, scaled))
-    return read_clock() - peer.last_heard_at > patience
+    timeout = min(MAX_PEER_TIMEOUT_S, max(PEER_TIMEOUT_S, scaled))
+    return read_clock() - peer.last_heard_at > timeout
 
 
 def mark_silent(board: ServingBoard, peer: Peer) -> bool:
-    """Take note that a peer does not answer.
+    """Mark a peer that did not answer as silent.
 
     :param board: the blackboard.
     :param peer: the peer.
-    :returns: whether that is new.
+    :returns: whether it was not silent before.
     """
     if is_silent(board, peer):
         return False
@@ -227,9 +225,9 @@
 
 
 def list_live_peers(board: ServingBoard) -> Iterator[Peer]:
-    """List the peers that were heard of lately.
+    """List the peers that are not silent.
 
     :param board: the blackboard.
-    :returns: the peers.
+    :returns: the live peers.
     """
     return (peer for peer in board.peers.values() if not is_silent(board, peer))
--- a/src/dykemast/_internal/serving/state/fleet_size.py
+++ b/src/dykemast/_internal/serving/state/fleet_size.py
@@ -1,17 +1,17 @@
-"""Whether a fleet is too large for every router to deal with every other."""
+"""Whether the fleet is too large for all routers to contact all others."""
 
 from typing import Final
 
 from dykemast._internal.serving.state.board import ServingBoard
 
-#: Routers from which on a fleet is large: beyond some twenty, writes of one
-#: budget by all of them would mostly meet each other, and exchanges of news
-#: with all would take most of a small instance's processor.
+#: Peers from which on a fleet is large: beyond about 20, concurrent writes of
+#: one budget mostly conflict, and gossip with all peers takes most of a small
+#: instance's processor.
 LARGE_FLEET_ROUTERS: Final = 20
 
 
 def is_large_fleet(board: ServingBoard) -> bool:
-    """Tell whether this is a large fleet.
+    """Tell whether the fleet is large.
 
     :param board: the blackboard.
     :returns: whether it is.
--- a/src/dykemast/_internal/serving/state/monitoring.py
+++ b/src/dykemast/_internal/serving/state/monitoring.py
@@ -1,10 +1,10 @@
-"""Counters and times for monitoring."""
+"""Metrics of a router."""
 
 from typing import Final, NamedTuple
 
 from aioprometheus import Counter, Gauge, Histogram, Registry, render
 
-#: Bounds of the histograms in seconds, around the users' objectives.
+#: Upper bounds of histogram buckets in seconds, around the latency objectives.
 _BUCKETS: Final = (0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 15)
 
 
@@ -12,16 +12,16 @@
     """Metrics of one router.
 
     :param registry: all of them.
-    :param requests: requests ended, by route kind and outcome.
+    :param requests: finished requests, by route kind and outcome.
     :param refusals: refusals by code.
     :param sends: sends to backend servers, by service and outcome.
     :param cold_sends: sends to servers that were cold, by service.
-    :param limited_sends: sends to servers that named a limit, by service.
+    :param limited_sends: sends to servers with a rate limit, by service.
     :param first_byte: seconds until an answer began.
-    :param duration: seconds until an answer was whole.
+    :param duration: seconds until an answer was complete.
     :param tokens: tokens held and consumed.
     :param store_calls: calls to the store by kind.
-    :param gauges: state at the moment of asking.
+    :param gauges: state at the time of the request for metrics.
     """
 
     registry: Registry
@@ -71,7 +71,7 @@
 
 
 def render_metrics(metrics: Metrics, state: dict[str, float]) -> bytes:
-    """Write the metrics in the usual text format.
+    """Render the metrics in the Prometheus text format.
 
     :param metrics: the metrics.
     :param state: gauges by name.
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -1,10 +1,9 @@
-"""What a router does each second for the size of its fleet.
+"""Background work of a router by the size of its fleet.
 
-With 195 routers the looks at others took 3.8 % of a core in each of them,
-idle, counted by processor time of the functions at the rates at which they
-run: 2.5 % to find out who keeps budgets that this router never drew on, 0.7 %
-to write down what all others have at servers, of which 24 are passed on.
-Users allow 2.7 % for all of control. What is counted here is work, not time.
+In a fleet of 195 routers, iterating over peers took 3.8 % of a core of each
+idle router: 2.5 % to find the owners of budgets that the router never used, and
+0.7 % to encode the server loads of all peers, of which 24 are relayed. The
+limit for all background work is 2.7 %. The tests count operations, not time.
 """
 
 from collections.abc import Iterator
@@ -14,7 +13,7 @@
 from dykemast._internal.operations import peer_loads, rendezvous
 from dykemast._internal.platform.servers import SERVER_KIND
 from dykemast._internal.serving.knowledge.periodic_reads import (
-    FIRST_AGE_IN_LARGE_FLEET,
+    FIRST_AGE_SHARE_IN_LARGE_FLEET,
     PeriodicRead,
     is_read_due,
 )
@@ -30,15 +29,15 @@
 
 
 class CountedPeers(dict[str, Peer]):
-    """Peers of a board, with a count of those looked at."""
+    """Peers of a board that count how many of them were visited."""
 
     def __init__(self, peers: dict[str, Peer]) -> None:
         super().__init__(peers)
-        self.looks = 0
+        self.visits = 0
 
     def values(self) -> Iterator[Peer]:  # noqa: WPS110 -- as a dictionary has
         for peer in super().values():
-            self.looks += 1
+            self.visits += 1
             yield peer
 
 
@@ -47,7 +46,7 @@
 
 
 def make_fleet(size: int) -> ServingBoard:
-    """Make the board of the last router of a fleet, which hears all."""
+    """Make the board of the last router of a fleet, with all peers live."""
     *others, last = list_names(size + 1)
     board = make_board(last)
     now = read_clock()
@@ -57,7 +56,7 @@
     return board
 
 
-def test_budgets_that_nobody_draws_on_here_cost_no_look_at_others() -> None:
+def test_unused_budgets_cost_no_iteration_over_peers() -> None:
     for size in SIZES:
         upkeep = assemble(make_fleet(size)).upkeep
         accounts = [
@@ -71,26 +70,28 @@
                 budget_upkeep.needs_write(upkeep, one) for one in accounts
             )
         assert not hashed.call_count, size
-        assert not upkeep.board.peers.looks, size
+        assert not upkeep.board.peers.visits, size
 
 
-def test_turns_to_read_cost_a_few_looks() -> None:
+def test_a_check_for_a_due_listing_visits_few_peers() -> None:
     for size in SIZES:
         board = make_fleet(size)
         periodic_read = PeriodicRead(make_updater(board), 1.4)
         now = read_clock()
-        board.last_read_at[SERVER_KIND] = now - FIRST_AGE_IN_LARGE_FLEET * 1.3
+        board.last_read_at[SERVER_KIND] = (
+            now - FIRST_AGE_SHARE_IN_LARGE_FLEET * 1.3
+        )
         assert not is_read_due(board, periodic_read)
-        assert not board.peers.looks, 'nobody has to read yet'
+        assert not board.peers.visits, 'no router has to list yet'
         board.last_read_at[SERVER_KIND] = now - 1.3
         assert not is_read_due(board, periodic_read)
-        assert board.peers.looks <= 3, (size, board.peers.looks)
+        assert board.peers.visits <= 3, (size, board.peers.visits)
         board.last_read_at[SERVER_KIND] = now - 1.5
-        assert is_read_due(board, periodic_read), 'the last one reads as well'
+        assert is_read_due(board, periodic_read), 'the last one lists as well'
 
 
-def take_all(names: list[str]) -> peer_loads.PeerLoads:
-    """Take what each of some routers tells, one after the other."""
+def apply_all(names: list[str]) -> peer_loads.PeerLoads:
+    """Apply the loads of each of these routers, in this order."""
     loads = peer_loads.PeerLoads()
     for number, name in enumerate(names):
         told = (ServerLoad('engine-0', 1, number),)
@@ -98,17 +99,17 @@
     return loads
 
 
-def count_written(loads: peer_loads.PeerLoads) -> int:
+def count_encoded(loads: peer_loads.PeerLoads) -> int:
     written = mock.Mock(wraps=peer_loads.RelayedLoads)
     with mock.patch.object(peer_loads, 'RelayedLoads', written):
         loads.export_recent(1)
     return written.call_count
 
 
-def test_only_loads_that_are_passed_on_are_written_down() -> None:
+def test_only_relayed_loads_are_encoded() -> None:
     for size in SIZES:
         names = list_names(size)
-        loads = take_all(names)
-        assert count_written(loads) == peer_loads.MAX_RELAYED_ROUTERS
+        loads = apply_all(names)
+        assert count_encoded(loads) == peer_loads.MAX_RELAYED_ROUTERS
         newest = reversed(names[-peer_loads.MAX_RELAYED_ROUTERS :])
         assert [one.instance for one in loads.export_recent(1)] == list(newest)
--- a/tests/unit/test_foreign_entries.py
+++ b/tests/unit/test_foreign_entries.py
@@ -1,10 +1,9 @@
-"""What stands in the store and names no server costs nobody else anything.
+"""An invalid object in the store affects no valid entry of a server.
 
-A page was read as a whole and its objects by the names of their fields, so
-that one address that was a number, one item without a name or one text that
-was not UTF-8 ended the reading of all servers (503 to six of six requests).
-Valid entries are the oracle here: whatever is put beside them, they are all
-taken, and nothing else is.
+When a page was decoded as a whole, an address that was a number, an item
+without a name or a text that was not UTF-8 stopped the reading of all servers:
+six of six requests got a 503. The tests put invalid objects beside valid
+entries, and check that exactly the valid ones are applied.
 """
 
 import json
@@ -38,8 +37,8 @@
         'born': 1_700_000_000_000,
     }
 )
-#: Of each field, what it may not hold; None for the field left out.
-MISFITS: Final = MappingProxyType(
+#: Invalid values by field; None leaves the field out.
+INVALID_VALUES: Final = MappingProxyType(
     {
         'service': (None, '', 5, [], {}, 'x' * 500),
         'address': (
@@ -65,7 +64,7 @@
         'born': ('1', 1.5, -1, True, {}, 10**30),
     }
 )
-#: Items that are no object of a store.
+#: Items of a page that are not objects of the store.
 RAW_ITEMS = (
     b'5',
     b'null',
@@ -100,7 +99,7 @@
 
 
 def list_taken(members: list[bytes]) -> set[str]:
-    """Read a page as a router does, and tell which ids it would use."""
+    """Read a page as a router does, and list the ids of its servers."""
     board = make_board()
     listing = store_pages.decode_page(join_page(members)).listing
     apply_listing(make_updater(board), listing)
@@ -108,37 +107,37 @@
     return {server.server_id for server in board.servers.values()}
 
 
-def make_misfit(field: str, misfit: Any) -> dict[str, Any]:
-    spec = {**VALID, field: misfit}
-    if misfit is None:
+def make_invalid_spec(field: str, invalid: Any) -> dict[str, Any]:
+    spec = {**VALID, field: invalid}
+    if invalid is None:
         spec.pop(field)
     return spec
 
 
-def test_each_field_that_does_not_fit_names_no_server() -> None:
-    for field, misfits in MISFITS.items():
-        for misfit in misfits:
-            foreign = encode_entry('foreign', make_misfit(field, misfit))
+def test_each_invalid_field_makes_an_entry_invalid() -> None:
+    for field, invalid_values in INVALID_VALUES.items():
+        for invalid in invalid_values:
+            foreign = encode_entry('foreign', make_invalid_spec(field, invalid))
             beside = [
                 encode_entry('a', VALID),
                 foreign,
                 encode_entry('b', VALID),
             ]
-            assert list_taken(beside) == {'a', 'b'}, (field, misfit)
+            assert list_taken(beside) == {'a', 'b'}, (field, invalid)
 
 
 def test_fields_that_may_be_left_out_are_not_asked_for() -> None:
     for field in ('sequence', 'born', 'version', 'coldLeftMs'):
-        spec = make_misfit(field, None)
+        spec = make_invalid_spec(field, None)
         assert list_taken([encode_entry('a', spec)]) == {'a'}, field
 
 
-def test_names_that_fit_no_header_field_name_no_server() -> None:
+def test_names_that_fit_no_header_field_make_an_entry_invalid() -> None:
     for name in ('', 'a b', 'a\r\nb: c', 'a\0b', 'ä', 'x' * 500):
         assert not list_taken([encode_entry(name, VALID)]), name
 
 
-def test_items_that_are_no_objects_cost_only_themselves() -> None:
+def test_items_that_are_no_objects_are_skipped() -> None:
     for raw in RAW_ITEMS:
         valid = encode_entry('a', VALID)
         assert list_taken([raw, valid]) == {'a'}, raw[:50]
@@ -167,7 +166,9 @@
     ),
     strategies.randoms(use_true_random=False),
 )
-def test_valid_entries_hold_beside_anything(foreign: Any, luck: Any) -> None:
+def test_valid_entries_are_applied_beside_anything(
+    foreign: Any, luck: Any
+) -> None:
     valid = [encode_entry(name, VALID) for name in 'abc']
     members = valid + foreign
     luck.shuffle(members)
@@ -202,14 +203,14 @@
     assert [json.loads(one) for one in members] == [document, 1, document]
 
 
-def test_an_entry_that_becomes_unusable_names_no_server_at_once() -> None:
-    # It has not lapsed while the store was away: something stands there.
+def test_an_entry_that_becomes_invalid_is_removed_at_once() -> None:
+    # It did not expire: another object has replaced it.
     board = make_board()
     updater = make_updater(board)
     valid = [StoreObject(name, 1, VALID) for name in 'ab']
     apply_listing(updater, Listing(valid, 1))
     board.last_read_at.clear()
-    foreign = StoreObject('a', 2, make_misfit('slots', '4'))
+    foreign = StoreObject('a', 2, make_invalid_spec('slots', '4'))
     apply_listing(updater, Listing([foreign, valid[1]], 2))
     assert set(board.server_starts) == {'b'}
     assert len(board.servers) == 1
@@ -217,7 +218,7 @@
 
 
 def test_a_change_that_cannot_be_read_has_the_list_read_again() -> None:
-    # Whose change it is can't be told, and the others must not be missed.
+    # The changed object is unknown, and its change must not be missed.
     event = b'{"removed": false, "object": %b}'
     body = b'{"storeRevision": 9, "events": [%b]}'
     for raw in RAW_ITEMS[:3]:
@@ -230,7 +231,7 @@
 
 
 def test_changes_beside_an_unusable_one_are_taken() -> None:
-    foreign = encode_entry('foreign', make_misfit('address', 5))
+    foreign = encode_entry('foreign', make_invalid_spec('address', 5))
     events = tuple(
         b'{"removed": false, "object": %b}' % one
         for one in (foreign, encode_entry('a', VALID))
--- a/tests/unit/test_halls.py
+++ b/tests/unit/test_halls.py
@@ -1,4 +1,4 @@
-"""Halls that are emptied, and homes, by the rules alone."""
+"""Evacuated halls and allowed regions, without a running router."""
 
 from dykemast._internal.models.backend import BackendServer, Evacuations
 from dykemast._internal.models.deployment import Endpoint
@@ -24,13 +24,13 @@
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_board
 
-PROMISED = 5.0
+EVACUATE_S = 5.0
 
 
-def make_promising_board() -> ServingBoard:
+def make_board_with_bound() -> ServingBoard:
     board = make_board()
     settings = board.settings
-    bounds = settings.bounds._replace(evacuate_time=PROMISED)
+    bounds = settings.bounds._replace(evacuate_time=EVACUATE_S)
     regions = {'north': 'home', 'south': 'abroad'}
     board.settings = settings._replace(bounds=bounds, regions=regions)
     return board
@@ -56,23 +56,23 @@
     return False
 
 
-def test_nobody_decides_without_knowing_which_halls_are_emptied() -> None:
-    board = make_promising_board()
+def test_requests_are_refused_without_a_list_of_evacuated_halls() -> None:
+    board = make_board_with_bound()
     board.store_unavailable_since = read_clock()
-    # Also while the store is away: nothing was known that could stay in force.
+    # Also while the store is unavailable, as there is no earlier list to use.
     assert is_refused(board)
     assert not is_ready(board)
     evacuations.apply_evacuations(board, Evacuations(7), 'store')
     assert not is_refused(board)
     board.store_unavailable_since = 0
-    board.last_read_at[EVACUATION_KIND] = read_clock() - PROMISED
+    board.last_read_at[EVACUATION_KIND] = read_clock() - EVACUATE_S
     assert is_refused(board)
-    board.last_read_at[EVACUATION_KIND] = read_clock() - PROMISED / 2
+    board.last_read_at[EVACUATION_KIND] = read_clock() - EVACUATE_S / 2
     assert not is_refused(board)
 
 
-def test_older_word_of_halls_changes_nothing() -> None:
-    board = make_promising_board()
+def test_an_older_list_of_halls_changes_nothing() -> None:
+    board = make_board_with_bound()
     for server in (make_backend('a', 'north'), make_backend('b', 'south')):
         backends.add_server(board, server)
     emptied = Evacuations(9, frozenset(('south',)))
@@ -83,8 +83,8 @@
     assert list_names(board) == ['a', 'b']
 
 
-def test_asked_for_again_within_one_watch() -> None:
-    board = make_promising_board()
+def test_an_evacuation_that_is_requested_again_within_one_watch() -> None:
+    board = make_board_with_bound()
     updater = evacuations.make_updater(board)
     asked = StoreObject('south', 1, {})
     apply_listing(updater, Listing([asked], 1))
@@ -95,8 +95,8 @@
     assert not board.evacuations.halls
 
 
-def test_homes_bind_together() -> None:
-    board = make_promising_board()
+def test_allowed_regions_apply_together() -> None:
+    board = make_board_with_bound()
     for server in (make_backend('a', 'north'), make_backend('b', 'south')):
         backends.add_server(board, server)
     home, abroad = frozenset(('home',)), frozenset(('abroad',))
@@ -106,10 +106,10 @@
     assert not list_names(board, home)
 
 
-def test_names_that_are_no_halls_are_told_to_nobody() -> None:
-    # Each name stands in all news of all routers: whoever writes a thousand
-    # there makes every exchange longer, for good. All 1,001 were kept.
-    board = make_promising_board()
+def test_names_that_are_no_halls_are_not_sent_to_peers() -> None:
+    # Each name is part of every gossip message, so a thousand unknown names
+    # would enlarge all of them permanently. All 1,001 were kept.
+    board = make_board_with_bound()
     updater = evacuations.make_updater(board)
     names = [f'{number}'.rjust(100, 'x') for number in range(1000)]
     found = [StoreObject(name, 1, {}) for name in (*names, 'south')]
--- a/tests/unit/test_knowledge_age.py
+++ b/tests/unit/test_knowledge_age.py
@@ -1,9 +1,9 @@
-"""How old a router takes its knowledge of the store to be.
+"""Age of a router's copy of store objects.
 
-Routers tell each other how old their knowledge is. What a router without
-processor time reads has waited in its buffers, and its age was counted from
-when it was read: in three runs by hand a configuration that had been replaced
-1.3, 2.1 and 3.7 s before passed for one of 0.1, 0.9 and 1.2 s.
+Routers send each other the age of their copies. A message waits in the buffers
+of a router without processor time. When its age was counted from the time of
+reading, configurations that had been replaced 1.3, 2.1 and 3.7 s before passed
+for 0.1, 0.9 and 1.2 s old.
 """
 
 import time
@@ -22,16 +22,16 @@
 from tests.lib.serving_boards import make_boards
 from tests.lib.users_objects import make_configuration
 
-#: Seconds for which news wait.
-WAITED = 0.3
+#: Seconds for which a message waits.
+WAITED_S = 0.3
 
 
-def test_news_that_waited_do_not_make_old_knowledge_young() -> None:
+def test_a_delayed_message_does_not_make_an_old_copy_fresh() -> None:
     board, peer = make_boards(2)
     peer.last_read_at[CONFIGURATION_KIND] = read_clock()
     read_at = peer.last_read_at[CONFIGURATION_KIND]
     message = gossip_messages.GossipMessages(peer, make_loads()).build_message()
-    time.sleep(WAITED)
+    time.sleep(WAITED_S)
     gossip_messages.GossipMessages(board, make_loads()).apply_message(message)
     least = read_clock() - read_at
     assert ages.compute_age(board, CONFIGURATION_KIND) >= least
@@ -42,19 +42,19 @@
     return known._replace(**fields)
 
 
-def test_what_is_current_decides() -> None:
+def test_a_current_copy_decides() -> None:
     known = make_known()
     assert known.may_serve()
     assert known.may_refuse_permanently()
 
 
-def test_what_may_be_outdated_refuses_nothing_for_good() -> None:
+def test_an_outdated_copy_refuses_nothing_permanently() -> None:
     assert not make_known(age=3).may_refuse_permanently()
     assert not make_known(outdated=True).may_refuse_permanently()
     assert make_known(outdated=True).may_serve()
 
 
-def test_what_was_last_known_serves_while_the_store_is_away() -> None:
+def test_the_last_copy_serves_while_the_store_is_unavailable() -> None:
     assert not make_known(age=3).may_serve()
     away = make_known(age=3, store_away=True)
     assert away.may_serve()
@@ -64,12 +64,12 @@
 def test_a_read_is_late_by_the_store_or_by_this_router() -> None:
     assert is_read_late(0.4, 0)
     assert not is_read_late(0.2, 0)
-    # A loop that is late at each turn of the call takes 2 s by itself.
+    # An event loop that is late at each iteration delays the call by 2 s.
     assert not is_read_late(2, 0.2)
     assert is_read_late(3, 0.2)
 
 
-def test_a_peer_that_is_asked_tells_how_old_knowledge_is() -> None:
+def test_the_answer_of_a_peer_gives_the_age_of_a_copy() -> None:
     board, peer = make_boards(2)
     asked_at = read_clock()
     peer.last_read_at[CONFIGURATION_KIND] = asked_at - 1
@@ -78,12 +78,12 @@
         body
     )
     assert message
-    time.sleep(WAITED)
+    time.sleep(WAITED_S)
     peer_fetches.record_peer_ages(board, message, asked_at)
-    assert 1 + WAITED <= ages.compute_age(board, CONFIGURATION_KIND) <= 2
+    assert 1 + WAITED_S <= ages.compute_age(board, CONFIGURATION_KIND) <= 2
 
 
-def test_a_newer_version_that_is_told_of_ends_refusals_for_good() -> None:
+def test_a_newer_version_at_a_peer_ends_permanent_refusals() -> None:
     board, peer = make_boards(2)
     stored = StoreObject('main', 9, make_configuration(version=9))
     apply_configuration(peer, stored, 'store')
--- a/tests/unit/test_lapsed_leavers.py
+++ b/tests/unit/test_lapsed_leavers.py
@@ -1,6 +1,6 @@
-"""A server that said that it leaves does not come back with its entry.
+"""A server that announced to leave stays unused when its entry returns.
 
-Entries lapse while the store is away, and stand there again as they were.
+Entries expire while the store is unavailable, and return unchanged after that.
 """
 
 from types import MappingProxyType
@@ -36,7 +36,7 @@
     misdirected=False,
     headers=[],
     delimited=True,
-    asks=Backpressure(leaving=True),
+    backpressure=Backpressure(leaving=True),
 )
 
 
@@ -57,7 +57,7 @@
     return len(list_usable(board, 'lm'))
 
 
-def test_an_entry_that_is_back_does_not_undo_a_servers_word() -> None:
+def test_a_server_stays_leaving_when_its_entry_returns() -> None:
     board = read_entries(make_board(), 1, 5)
     record_backpressure(board, board.servers['i-1'], LEAVING)
     read_entries(board, 2)
@@ -65,7 +65,7 @@
     assert not count_usable(board)
 
 
-def test_a_word_that_comes_while_the_entry_is_gone_is_kept() -> None:
+def test_leaving_is_recorded_while_the_entry_is_gone() -> None:
     board = read_entries(make_board(), 1, 5)
     server = board.servers['i-1']
     read_entries(board, 2)
@@ -74,19 +74,19 @@
     assert not count_usable(board)
 
 
-def test_a_start_after_one_that_left_is_used() -> None:
+def test_an_incarnation_after_one_that_left_is_used() -> None:
     board = read_entries(make_board(), 1, 5)
     record_backpressure(board, board.servers['i-1'], LEAVING)
     read_entries(board, 2)
     read_entries(board, 3, 1)
     assert count_usable(board) == 1
-    # Its own entry may lapse as well.
+    # Its own entry may expire as well.
     read_entries(board, 4)
     read_entries(board, 5, 9)
     assert count_usable(board) == 1
 
 
-def test_a_word_of_an_earlier_start_is_not_taken_for_the_next() -> None:
+def test_leaving_of_an_incarnation_does_not_apply_to_the_next() -> None:
     board = read_entries(make_board(), 1, 5)
     earlier = board.servers['i-1']
     read_entries(board, 2, 1)
@@ -94,7 +94,7 @@
     assert count_usable(board) == 1
 
 
-def test_another_server_at_the_address_does_not_speak_for_it() -> None:
+def test_an_answer_of_another_server_at_the_address_is_ignored() -> None:
     board = read_entries(make_board(), 1, 5)
     other = LEAVING._replace(misdirected=True)
     record_backpressure(board, board.servers['i-1'], other)
--- a/tests/unit/test_large_fleet.py
+++ b/tests/unit/test_large_fleet.py
@@ -9,8 +9,8 @@
 )
 from dykemast._internal.operations.prompt_caches import choose_prefix_owner
 from dykemast._internal.serving.members.gossip_partners import (
-    PEERS_A_ROUND,
-    PEERS_IN_LARGE_FLEET,
+    MAX_PEERS_PER_ROUND,
+    MAX_PEERS_IN_LARGE_FLEET,
     choose_partners,
 )
 from dykemast._internal.utils.clock import read_clock
@@ -50,7 +50,7 @@
     now = read_clock()
     for number, peer in enumerate(peers):
         peer.last_exchange_at = now - 100 + number
-    assert choose_partners(board) == peers[:PEERS_IN_LARGE_FLEET]
+    assert choose_partners(board) == peers[:MAX_PEERS_IN_LARGE_FLEET]
 
 
 def test_a_silent_peer_is_tried_as_well() -> None:
@@ -60,12 +60,12 @@
     assert silent in choose_partners(board)
     for peer in board.peers.values():
         peer.last_heard_at = 0
-    assert len(choose_partners(board)) == PEERS_IN_LARGE_FLEET
+    assert len(choose_partners(board)) == MAX_PEERS_IN_LARGE_FLEET
 
 
 def test_all_peers_of_a_small_fleet_are_met_in_each_round() -> None:
-    board = make_boards(PEERS_A_ROUND + 1)[0]
-    assert len(choose_partners(board)) == PEERS_A_ROUND
+    board = make_boards(MAX_PEERS_PER_ROUND + 1)[0]
+    assert len(choose_partners(board)) == MAX_PEERS_PER_ROUND
     assert not choose_partners(make_board())
 
 
--- a/tests/unit/test_members.py
+++ b/tests/unit/test_members.py
@@ -1,4 +1,4 @@
-"""A router's own entry in the list of routers."""
+"""The own entry of a router in the store."""
 
 import asyncio
 from typing import Any
@@ -12,8 +12,8 @@
 from dykemast._internal.serving.members import members, own_entry
 from tests.lib.serving_boards import make_board
 
-#: Seconds in which the loop of a router tries to list it at least once.
-LOOK = 0.05
+#: Seconds in which a router attempts to register at least once.
+MARGIN_S = 0.05
 
 
 class EntryStore:
@@ -44,9 +44,9 @@
         self.entries.clear()
 
 
-async def test_an_entry_that_is_removed_late_is_written_again() -> None:
-    # The removal by the process before, without an answer, may take effect
-    # after the next process has listed itself; it did so once only.
+async def test_an_entry_that_is_deleted_late_is_written_again() -> None:
+    # A deletion by the previous process that got no answer may take effect
+    # after this process has registered. It registered only once.
     store, board = EntryStore(), make_board()
     await own_entry.register_self(board, store)
     await store.delete()
@@ -54,13 +54,13 @@
     assert set(store.entries) == {'node-0'}
 
 
-async def test_a_router_that_ends_does_not_list_itself_again() -> None:
-    # The store came back after a stop had begun: the entry was removed, then
-    # written by the loop that lists the router, and stayed.
+async def test_a_router_that_stops_does_not_register_again() -> None:
+    # When the store returned after a stop had begun, the entry was deleted,
+    # and then written again by the loop that registers the router.
     store, board = EntryStore(), make_board()
     store.is_away = True
     work = asyncio.create_task(members.keep_registered(board, store))
-    await asyncio.sleep(LOOK)
+    await asyncio.sleep(MARGIN_S)
     board.stopping = True
     store.is_away = False
     await asyncio.sleep(2 * members.RETRY_PAUSE_S)
@@ -69,20 +69,20 @@
 
 
 async def count_start_calls(store: EntryStore, *, first: bool) -> list[str]:
-    """List the calls of a router that starts, in its first two seconds."""
+    """List the calls of a router in its first seconds."""
     board = make_board()
     board.settings = board.settings._replace(first_start=first)
     store.calls.clear()
     work = asyncio.create_task(members.keep_registered(board, store))
-    await asyncio.sleep(members.START_PAUSE_S + LOOK)
+    await asyncio.sleep(members.START_PAUSE_S + MARGIN_S)
     work.cancel()
     return store.calls
 
 
 async def test_a_restart_makes_two_calls_for_its_entry_and_the_list() -> None:
-    # It made five: 440 of 1,045 calls of a day in a fleet of 19 routers fell
-    # into the first four seconds of a process. Two lists are needed only when
-    # all start for the first time, as nobody is listed at the first.
+    # It made five calls: 440 of 1,045 calls of a day in a fleet of 19 routers
+    # fell into the first four seconds of a process. A second listing is needed
+    # only at the first start of all routers, when the first one is empty.
     store = EntryStore()
     first = await count_start_calls(store, first=True)
     assert first == ['create', 'list', 'list']
--- a/tests/unit/test_news_rounds.py
+++ b/tests/unit/test_news_rounds.py
@@ -1,8 +1,8 @@
-"""News go round at their pace while peers are away.
+"""Unreachable peers do not slow gossip down.
 
-Each round waited for all of its exchanges, and each tries a peer that is
-silent: with one of them away, a round took 0.6 s in place of 0.2 s, and with
-it all that routers tell each other: loads, servers that are gone, ages.
+Each round tries a silent peer. When rounds waited for all of their exchanges,
+one unreachable peer made each take 0.6 s instead of 0.2 s, which delayed loads,
+removed servers and ages.
 """
 
 import asyncio
@@ -12,41 +12,41 @@
 from tests.lib.serving_boards import make_boards
 
 #: Seconds for which rounds are counted.
-WATCHED = 1.0
+MEASURED_S = 1.0
 
 
-class SlowTalks:
-    """Exchanges of which those with silent peers end late."""
+class SlowExchanges:
+    """Exchanges that are slow with silent peers."""
 
     def __init__(self) -> None:
-        self.heard = 0
-        self.late = 0
+        self.live = 0
+        self.slow = 0
 
     async def exchange_with(self, peer: Peer) -> None:
         if peer.last_heard_at:
-            self.heard += 1
+            self.live += 1
             return
-        self.late += 1
+        self.slow += 1
         await asyncio.sleep(gossip.CALL_TIMEOUT_S)
 
 
-async def test_a_peer_that_is_away_delays_no_round() -> None:
+async def test_an_unreachable_peer_delays_no_round() -> None:
     board = make_boards(3)[0]
     board.peers['node-2'].last_heard_at = 0
-    talks = SlowTalks()
-    work = asyncio.create_task(gossip.run_gossip(board, talks))
-    await asyncio.sleep(WATCHED)
+    exchanges = SlowExchanges()
+    work = asyncio.create_task(gossip.run_gossip(board, exchanges))
+    await asyncio.sleep(MEASURED_S)
     work.cancel()
-    # Two were told in a second before.
-    rounds = WATCHED / (
+    # Formerly only two exchanges per second.
+    rounds = MEASURED_S / (
         gossip_partners.ROUND_INTERVAL_S + gossip_partners.ROUND_JITTER_S
     )
-    assert talks.heard >= int(rounds)
-    assert talks.late >= int(rounds), 'and the silent one is tried each time'
+    assert exchanges.live >= int(rounds)
+    assert exchanges.slow >= int(rounds), 'each round tries the silent peer'
 
 
-class BrokenTalks:
-    """Exchanges that fail as nobody expects."""
+class FailingExchanges:
+    """Exchanges that fail with an unexpected error."""
 
     async def exchange_with(self, peer: Peer) -> None:
         raise AttributeError(peer.card.instance)
@@ -55,9 +55,9 @@
 async def test_an_error_in_an_exchange_ends_the_loop_to_be_run_again() -> None:
     board = make_boards(2)[0]
     try:
-        async with asyncio.timeout(WATCHED):
-            await gossip.run_gossip(board, BrokenTalks())
+        async with asyncio.timeout(MEASURED_S):
+            await gossip.run_gossip(board, FailingExchanges())
     except ExceptionGroup as errors:
         assert errors.subgroup(AttributeError)
     else:
-        raise AssertionError('it went on as if nothing were')
+        raise AssertionError('the loop continued after an unexpected error')
--- a/tests/unit/test_news_size.py
+++ b/tests/unit/test_news_size.py
@@ -1,8 +1,8 @@
-"""News are small, as links between halls are.
+"""Gossip messages are small enough for slow links between halls.
 
-Of 195 routers each writes 30 news a second and gets as many. They had 2,250
-bytes each, and with what frames them 33 to 52 KB/s passed between halls, where
-users ask for 4 KB/s.
+In a fleet of 195 routers, each sends and receives 30 messages per second. With
+2,250 bytes each and their framing, the traffic between halls was 33 to 52 KB/s,
+where the limit is 4 KB/s.
 """
 
 from dykemast._internal.models.gossip import ServerLoad
@@ -12,12 +12,12 @@
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_board, make_boards
 
-MOST_BYTES = 1300
+MAX_MESSAGE_BYTES = 1300
 SERVERS_EACH = 4
 
 
-def make_busy_news(routers: int) -> GossipMessages:
-    """Make the news of a router in a fleet where all have requests."""
+def make_busy_messages(routers: int) -> GossipMessages:
+    """Make the messages of a router in a fleet where all have requests."""
     boards = make_boards(routers)
     loads = make_loads()
     now = read_clock()
@@ -30,12 +30,12 @@
     return GossipMessages(boards[0], loads)
 
 
-def test_news_of_a_large_fleet_are_small() -> None:
-    assert len(make_busy_news(195).build_message()) < MOST_BYTES
+def test_messages_of_a_large_fleet_are_small() -> None:
+    assert len(make_busy_messages(195).build_message()) < MAX_MESSAGE_BYTES
 
 
-def test_news_are_read_as_they_were_written() -> None:
-    body = make_busy_news(195).build_message()
+def test_messages_are_read_as_they_were_built() -> None:
+    body = make_busy_messages(195).build_message()
     message = GossipMessages(
         make_board('node-999'), make_loads()
     ).apply_message(body)
@@ -44,7 +44,7 @@
     assert {len(one.loads) for one in message.relayed} == {SERVERS_EACH}
 
 
-def test_news_that_make_no_sense_are_passed_over() -> None:
+def test_invalid_messages_are_skipped() -> None:
     reader = GossipMessages(make_board(), make_loads())
-    for body in (b'', b'no news', make_busy_news(30).build_message()[:-9]):
+    for body in (b'', b'no news', make_busy_messages(30).build_message()[:-9]):
         assert reader.apply_message(body) is None
--- a/tests/unit/test_server_lists.py
+++ b/tests/unit/test_server_lists.py
@@ -1,4 +1,4 @@
-"""The list of backend servers: from the store, from peers, and lapsed."""
+"""The list of backend servers: from the store, from peers, and expired."""
 
 import asyncio
 import contextlib
@@ -52,15 +52,15 @@
     return board
 
 
-def test_an_entry_that_goes_while_the_store_answers_is_gone() -> None:
+def test_an_entry_that_is_removed_while_the_store_answers_is_removed() -> None:
     board = make_known(read_ago=1)
     read_list(board, 10, make_entry('a', 1))
     assert list_names(board) == {'a'}
 
 
-def test_entries_that_lapsed_while_the_store_was_away_stay_a_while() -> None:
-    # All entries are gone after an outage of some seconds, and most are
-    # back within two: no router may be without a server meanwhile.
+def test_entries_that_expired_in_an_outage_are_kept_for_a_while() -> None:
+    # All entries expire in an outage of a few seconds, and most return within
+    # 2 s after it. Meanwhile no router may be without servers.
     board = make_known(read_ago=STORE_OUTAGE_GAP_S + 1)
     read_list(board, 10)
     assert list_names(board) == {'a', 'b'}
@@ -70,7 +70,7 @@
     assert set(board.expired_until) == {'b'}
 
 
-def test_a_lapsed_entry_that_does_not_come_back_is_gone() -> None:
+def test_an_expired_entry_that_does_not_return_is_removed() -> None:
     board = make_known(read_ago=STORE_OUTAGE_GAP_S + 1)
     read_list(board, 10, make_entry('a', 1))
     assert board.expired_until['b'] <= read_clock() + EXPIRED_GRACE_S
@@ -114,4 +114,4 @@
     boards = make_boards(20)
     watching = [is_watcher(board, SERVER_KIND) for board in boards]
     assert sum(watching) == MAX_WATCHERS
-    assert is_watcher(make_board(), SERVER_KIND), 'alone'
+    assert is_watcher(make_board(), SERVER_KIND), 'a single router'
--- a/tests/unit/test_serving_configuration.py
+++ b/tests/unit/test_serving_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force on the users' platform never goes back."""
+"""The version of the configuration in force never decreases."""
 
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.knowledge.configuration import (
@@ -25,7 +25,7 @@
     assert board.get_version() == 7
 
 
-def test_what_makes_no_sense_leaves_the_configuration_in_force() -> None:
+def test_an_invalid_configuration_leaves_the_current_one_in_force() -> None:
     board = make_board()
     apply_configuration(board, make_stored(5), 'store')
     apply_peer_copy(board, b'no configuration', 'node-1')
--- a/tests/unit/test_unusable_entries.py
+++ b/tests/unit/test_unusable_entries.py
@@ -1,7 +1,7 @@
-"""An entry that names no server is told once, not at each read of the list.
+"""An invalid entry is logged once, not at each listing.
 
-The list is read about each second, and whoever wrote the entry may never mend
-it: four reads of one foreign entry logged four lines.
+Listings are about a second apart, and the entry may never be corrected: four
+listings with one invalid entry logged four lines.
 """
 
 from unittest import mock
@@ -12,7 +12,7 @@
 from tests.lib.serving_boards import make_board
 
 
-def test_an_entry_that_stays_unusable_is_told_once() -> None:
+def test_an_entry_that_stays_invalid_is_logged_once() -> None:
     taker = make_updater(make_board())
     with mock.patch.object(updates, '_log') as told:
         for revision in (1, 1, 1, 2):
@@ -21,7 +21,7 @@
     assert [call.kwargs['revision'] for call in told.mock_calls] == [1, 2]
 
 
-def test_an_entry_that_was_mended_is_told_when_it_breaks_again() -> None:
+def test_an_entry_that_becomes_invalid_again_is_logged_again() -> None:
     taker = make_updater(make_board())
     with mock.patch.object(updates, '_log') as told:
         for names in (['a'], [], ['a']):
