--- a/src/dykemast/_internal/operations/entry_choice.py
+++ b/src/dykemast/_internal/operations/entry_choice.py
@@ -63,7 +63,7 @@
 
     Overloaded routers are left out while there are others, so that callers
     move away from them. Strong routers are always in the answer, with as many
-    weaker ones at most, or MIN_WEAK if that is more.
+    weaker ones at most, or MIN_WEAK_ROUTERS if that is more.
 
     :param options: routers that accept requests.
     :param max_addresses: highest number of addresses in the answer.
--- a/src/dykemast/_internal/serving/knowledge/backends.py
+++ b/src/dykemast/_internal/serving/knowledge/backends.py
@@ -31,10 +31,10 @@
     while True:
         await asyncio.sleep(EXPIRED_CHECK_INTERVAL_S)
         now = read_clock()
-        late = [
+        overdue = [
             name for name, until in board.expired_until.items() if until < now
         ]
-        for name in late:
+        for name in overdue:
             remove_server(board, name)
 
 
@@ -151,10 +151,10 @@
     board.expired_until.pop(name, None)
     board.cold_until.pop(name, None)
     board.backpressure.last.pop(name, None)
-    gone = board.servers.pop(name, None)
-    if gone:
-        board.server_starts.pop(gone.server_id)
+    removed = board.servers.pop(name, None)
+    if removed:
+        board.server_starts.pop(removed.server_id)
         if name in board.leaving:
             board.leaving.discard(name)
-            board.backpressure.delisted.record(gone, read_clock())
+            board.backpressure.delisted.record(removed, read_clock())
         _log('server_gone', server=name)
--- a/src/dykemast/_internal/serving/knowledge/evacuations.py
+++ b/src/dykemast/_internal/serving/knowledge/evacuations.py
@@ -59,26 +59,26 @@
 
 def apply_evacuations(
     board: ServingBoard,
-    told: Evacuations,
+    received: Evacuations,
     source: str,
 ) -> None:
     """Apply a list of evacuated halls if it is newer than the current one.
 
     :param board: the blackboard.
-    :param told: the halls, and the store's revision of the list.
+    :param received: the halls, and the store's revision of the list.
     :param source: the store or a peer, for the log.
     """
     before = board.evacuations
-    if told.revision <= before.revision:
+    if received.revision <= before.revision:
         return
-    board.evacuations = told
-    for hall in before.halls - told.halls:
+    board.evacuations = received
+    for hall in before.halls - received.halls:
         mark_hall_returned(board, hall)
-    if told.halls != before.halls:
+    if received.halls != before.halls:
         _log(
             'halls_emptied',
-            halls=sorted(told.halls),
+            halls=sorted(received.halls),
             before=sorted(before.halls),
-            revision=told.revision,
+            revision=received.revision,
             source=source,
         )
--- a/src/dykemast/_internal/serving/knowledge/periodic_reads.py
+++ b/src/dykemast/_internal/serving/knowledge/periodic_reads.py
@@ -27,7 +27,7 @@
 #: Seconds until a failed listing is retried.
 RETRY_PAUSE_S: Final = 0.5
 #: Age, as a fraction of the bound, at which the first router lists. Each next
-#: one waits longer by NEXT_AGE: gossip takes about 0.3 s to reach it.
+#: one waits longer by NEXT_AGE_SHARE: gossip takes about 0.3 s to reach it.
 FIRST_AGE_SHARE: Final = 0.5
 #: Lower in a large fleet, where gossip takes about three rounds: if the first
 #: router lists after 0.7 s of a bound of 1.4 s, routers that hear of it late
--- a/src/dykemast/_internal/serving/knowledge/store_state.py
+++ b/src/dykemast/_internal/serving/knowledge/store_state.py
@@ -29,6 +29,6 @@
     :param kind: kind of the objects that were requested.
     """
     if board.store_unavailable_since:
-        away = read_clock() - board.store_unavailable_since
-        _log('dependency_regained', kind=kind, away_s=round(away, 3))
+        outage_s = read_clock() - board.store_unavailable_since
+        _log('dependency_regained', kind=kind, away_s=round(outage_s, 3))
         board.store_unavailable_since = 0
--- a/src/dykemast/_internal/serving/knowledge/watches.py
+++ b/src/dykemast/_internal/serving/knowledge/watches.py
@@ -92,8 +92,8 @@
     :param kind: kind of the objects.
     :returns: whether it is.
     """
-    heard = [peer.card.instance for peer in list_live_peers(board)]
-    names = [board.settings.name, *heard]
+    live = [peer.card.instance for peer in list_live_peers(board)]
+    names = [board.settings.name, *live]
     watchers = rank_owners(kind, names)[:MAX_WATCHERS]
     return board.settings.name in watchers
 
--- a/src/dykemast/_internal/serving/members/gossip_partners.py
+++ b/src/dykemast/_internal/serving/members/gossip_partners.py
@@ -43,9 +43,9 @@
         peer for peer in board.peers.values() if peer.last_exchange_at < limit
     ]
     due.sort(key=_get_last_exchange)
-    heard = [peer for peer in due if not is_silent(board, peer)]
-    tried = _draw_silent(board, due, count - len(heard))
-    return tried + heard[: count - len(tried)]
+    live = [peer for peer in due if not is_silent(board, peer)]
+    silent_partners = _draw_silent(board, due, count - len(live))
+    return silent_partners + live[: count - len(silent_partners)]
 
 
 def _draw_silent(
--- a/src/dykemast/_internal/serving/members/peer_fetches.py
+++ b/src/dykemast/_internal/serving/members/peer_fetches.py
@@ -64,18 +64,18 @@
     :param message: the peer's answer.
     :param asked_at: seconds at which the request was sent.
     """
-    told = message.ages
+    peer_ages = message.ages
     if board.get_version() >= message.card.revision:
         # Otherwise the newer configuration has to be fetched first.
         kind = CONFIGURATION_KIND
-        ages.record_peer_age(board, kind, told.get(kind), asked_at)
+        ages.record_peer_age(board, kind, peer_ages.get(kind), asked_at)
     if board.server_state.digest == message.servers.digest:
         ages.record_peer_age(
-            board, SERVER_KIND, told.get(SERVER_KIND), asked_at
+            board, SERVER_KIND, peer_ages.get(SERVER_KIND), asked_at
         )
     # The message contains the evacuated halls, which are applied by now.
     kind = EVACUATION_KIND
-    ages.record_peer_age(board, kind, told.get(kind), asked_at)
+    ages.record_peer_age(board, kind, peer_ages.get(kind), asked_at)
 
 
 async def _fetch(call: Call, card: PeerCard, method: str, above: int) -> bytes:
--- a/src/dykemast/_internal/serving/state/board.py
+++ b/src/dykemast/_internal/serving/state/board.py
@@ -65,7 +65,8 @@
         ``serving.configuration``.
     :param encoded_table: its packed object; ``serving.configuration``.
     :param last_read_at: seconds at which a kind was last listed, by this router
-        or by a peer with the same copy; ``serving.periodic_reads``.
+        or by a peer with the same copy; ``serving.periodic_reads`` and
+        ``serving.ages``.
     :param read_started_at: seconds at which the current listing of a kind
         began; ``serving.periodic_reads``.
     :param newest_peer_version: highest version of the configuration that a peer
@@ -108,9 +109,10 @@
     :param loops: which loops failed; ``serving.supervision``.
     :param crashes: servers that crashed, and the requests they ran;
         ``serving.crash_watch``, ``serving.crash_records`` and
-        ``serving.gossip``.
+        ``serving.gossip_messages``.
     :param broken: sends that broke off recently; ``serving.crash_watch``.
-    :param quarantined: keys of quarantined requests; ``serving.quarantines``.
+    :param quarantined: digests of requests that are not sent;
+        ``serving.quarantines``.
     :param trials: digests of requests that run alone as a trial;
         ``serving.quarantine``.
     """
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -94,8 +94,8 @@
     """Apply the loads of each of these routers, in this order."""
     loads = peer_loads.PeerLoads()
     for number, name in enumerate(names):
-        told = (ServerLoad('engine-0', 1, number),)
-        loads.merge(name, told, number / len(names))
+        server_loads = (ServerLoad('engine-0', 1, number),)
+        loads.merge(name, server_loads, number / len(names))
     return loads
 
 
--- a/tests/unit/test_halls.py
+++ b/tests/unit/test_halls.py
@@ -75,8 +75,8 @@
     board = make_board_with_bound()
     for server in (make_backend('a', 'north'), make_backend('b', 'south')):
         backends.add_server(board, server)
-    emptied = Evacuations(9, frozenset(('south',)))
-    evacuations.apply_evacuations(board, emptied, 'store')
+    evacuated = Evacuations(9, frozenset(('south',)))
+    evacuations.apply_evacuations(board, evacuated, 'store')
     evacuations.apply_evacuations(board, Evacuations(8), 'node-1')
     assert list_names(board) == ['a']
     evacuations.apply_evacuations(board, Evacuations(10), 'node-1')
@@ -86,12 +86,12 @@
 def test_an_evacuation_that_is_requested_again_within_one_watch() -> None:
     board = make_board_with_bound()
     updater = evacuations.make_updater(board)
-    asked = StoreObject('south', 1, {})
-    apply_listing(updater, Listing([asked], 1))
-    events = [Event(asked, removed=True), Event(asked, removed=False)]
+    evacuation = StoreObject('south', 1, {})
+    apply_listing(updater, Listing([evacuation], 1))
+    events = [Event(evacuation, removed=True), Event(evacuation, removed=False)]
     apply_changes(updater, Changes(events, 3))
     assert board.evacuations.halls == {'south'}
-    apply_changes(updater, Changes([Event(asked, removed=True)], 4))
+    apply_changes(updater, Changes([Event(evacuation, removed=True)], 4))
     assert not board.evacuations.halls
 
 
--- a/tests/unit/test_knowledge_age.py
+++ b/tests/unit/test_knowledge_age.py
@@ -56,9 +56,9 @@
 
 def test_the_last_copy_serves_while_the_store_is_unavailable() -> None:
     assert not make_known(age=3).may_serve()
-    away = make_known(age=3, store_away=True)
-    assert away.may_serve()
-    assert not away.may_refuse_permanently()
+    unavailable = make_known(age=3, store_away=True)
+    assert unavailable.may_serve()
+    assert not unavailable.may_refuse_permanently()
 
 
 def test_a_read_is_late_by_the_store_or_by_this_router() -> None:
--- a/tests/unit/test_news_size.py
+++ b/tests/unit/test_news_size.py
@@ -22,11 +22,11 @@
     loads = make_loads()
     now = read_clock()
     for number in range(1, routers):
-        told = [
+        server_loads = [
             ServerLoad('i-{0:04}9c2e'.format(17 * number + server), 1, 900)
             for server in range(SERVERS_EACH)
         ]
-        loads.peers.merge(f'node-{number}', tuple(told), now)
+        loads.peers.merge(f'node-{number}', tuple(server_loads), now)
     return GossipMessages(boards[0], loads)
 
 
--- a/tests/unit/test_unusable_entries.py
+++ b/tests/unit/test_unusable_entries.py
@@ -14,17 +14,17 @@
 
 def test_an_entry_that_stays_invalid_is_logged_once() -> None:
     taker = make_updater(make_board())
-    with mock.patch.object(updates, '_log') as told:
+    with mock.patch.object(updates, '_log') as logged:
         for revision in (1, 1, 1, 2):
             stored = StoreObject('a', revision, {'address': 5})
             updates.apply_listing(taker, Listing([stored], 9))
-    assert [call.kwargs['revision'] for call in told.mock_calls] == [1, 2]
+    assert [call.kwargs['revision'] for call in logged.mock_calls] == [1, 2]
 
 
 def test_an_entry_that_becomes_invalid_again_is_logged_again() -> None:
     taker = make_updater(make_board())
-    with mock.patch.object(updates, '_log') as told:
+    with mock.patch.object(updates, '_log') as logged:
         for names in (['a'], [], ['a']):
             found = [StoreObject(name, 1, None) for name in names]
             updates.apply_listing(taker, Listing(found, 9))
-    assert len(told.mock_calls) == 2
+    assert len(logged.mock_calls) == 2
--- a/tools/hall_mutations.py
+++ b/tools/hall_mutations.py
@@ -20,8 +20,8 @@
         'take older word of halls that are emptied',
         'a hall that is emptied gets nothing new',
         f'{_INTERNAL}/serving/knowledge/evacuations.py',
-        'if told.revision <= before.revision:',
-        'if told == before:',
+        'if received.revision <= before.revision:',
+        'if received == before:',
         'test_halls',
     ),
     Mutation(
