--- a/src/dykemast/_internal/serving/parts.py
+++ b/src/dykemast/_internal/serving/parts.py
@@ -23,10 +23,10 @@
     :param board: the blackboard.
     :param budgets: holds tokens.
     :param loads: requests at backend servers.
-    :param trust: recent failures of backend servers.
-    :param retries: retry allowance by service.
+    :param trust: health scores of backend servers.
+    :param retries: retry budgets by service.
     :param upstreams: connections to backend servers.
-    :param turns: schedules requests to servers with a rate limit.
+    :param turns: shared rate limiter for servers with a rate limit.
     :param metrics: counters and histograms.
     """
 
