--- a/tools/stop_mutations.py
+++ b/tools/stop_mutations.py
@@ -26,7 +26,8 @@
         _CUTS_NOTHING,
         f'{_INTERNAL}/serving/admission/in_progress.py',
         'usual = board.usual_times.estimate_duration(\n'
-        '        admitted.route.name, admitted.started\n    )',
+        '        admitted.route.name, admitted.started\n'
+        '    )',
         'usual = 0.0',
         _OUTLASTS,
     ),
