--- a/src/dykemast/__init__.py
+++ b/src/dykemast/__init__.py
@@ -2,5 +2,5 @@
 
 from typing import Final
 
-#: Version of the program, as in the package's metadata.
+#: Same as in the package metadata.
 VERSION: Final = '0.1.0'
--- a/src/dykemast/_internal/exceptions.py
+++ b/src/dykemast/_internal/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the program, in one tree.
+"""Exceptions of the program.
 
 Each message says what happened, why, and what to do about it.
 """
@@ -7,12 +7,12 @@
 
 
 class Finding(NamedTuple):
-    """One thing wrong in a file.
+    """One error in a file.
 
     :param path: the file.
-    :param line: its line, from 1; 0 when unknown.
+    :param line: line number, from 1; 0 when unknown.
     :param field: dotted path of the field.
-    :param text: what is wrong, and what would be right.
+    :param text: what is wrong, and what is expected.
     """
 
     path: str
@@ -21,69 +21,72 @@
     text: str
 
     def __str__(self) -> str:
-        """Show as ``file:line: field: text``."""
+        """Format as ``file:line: field: text``."""
         return f'{self.path}:{self.line}: {self.field}: {self.text}'
 
 
 class DykemastError(Exception):
-    """Base of all errors that the program raises on purpose."""
+    """Base class of all exceptions that the program raises itself."""
 
 
 class InvalidFileError(DykemastError):
-    """A settings or configuration file has findings.
+    """A settings or configuration file is invalid.
 
-    :param findings: all of them.
+    :param findings: all errors in the file.
     """
 
     def __init__(self, findings: list[Finding]) -> None:
-        """Keep the findings."""
+        """Make an error whose message lists the findings, one a line."""
         super().__init__('\n'.join(str(finding) for finding in findings))
         self.findings = findings
 
 
 class PlatformError(DykemastError):
-    """A call to the platform's object API failed."""
+    """A call of the platform's object API failed."""
 
 
 class VersionConflictError(PlatformError):
-    """The object has another version: nothing was written.
+    """A conditional write found another version; nothing was written.
 
-    :param current: the object as it is, where the platform says so.
+    :param current: the stored object, if the platform returned it.
     """
 
     def __init__(self, text: str, current: Any = None) -> None:
-        """Keep the object."""
+        """Make an error with the stored object."""
         super().__init__(text)
         self.current = current
 
 
 class PlatformUnavailableError(PlatformError):
-    """No usable answer.
+    """The platform gave no usable response.
 
-    :param refused: whether nothing was done; else a write may or may not
+    :param refused: whether the call certainly had no effect; else a write may
         have taken effect, or take effect later.
     """
 
     def __init__(self, text: str, *, refused: bool = False) -> None:
-        """Keep whether the call was refused."""
+        """Make an error; see the class for its parameters."""
         super().__init__(text)
         self.refused = refused
 
 
 class MissingObjectError(PlatformError):
-    """There is no object to replace: nothing was written."""
+    """The object to replace does not exist; nothing was written."""
 
 
 class HistoryLostError(PlatformError):
-    """A watch cannot go on: list the objects again."""
+    """A watch cannot be resumed; the objects have to be listed again."""
 
 
 class ContendedError(PlatformError):
-    """Other routers wrote the object each time; the store is there."""
+    """Each try to write an object lost to a write of another router.
+
+    The store itself is available.
+    """
 
 
 class InvalidBudgetError(PlatformError):
-    """The row of a budget makes no sense; nothing may be consumed by it."""
+    """The stored row of a budget is invalid; nothing may be spent from it."""
 
 
 class PeerError(DykemastError):
@@ -91,22 +94,22 @@
 
 
 class InvalidDataError(DykemastError):
-    """What another router sent, or the store holds, makes no sense."""
+    """Data from another router or from the store is invalid."""
 
 
 class ListenerEndedError(DykemastError):
-    """A listener serves no more, though nobody closed it."""
+    """A listener stopped serving without having been closed."""
 
 
 class UpstreamError(DykemastError):
     """A backend server failed.
 
-    :param sent: whether any byte of the order may have reached it, and it
-        does not say that it did not run it.
-    :param unconnected: whether there was not even a connection.
-    :param absent: whether this shows that the server is no longer at its
-        address: nobody listens there, or another server does.
-    :param broken: whether its connection ended before the answer did.
+    :param sent: whether the server may have run the request: some of its bytes
+        may have arrived, and the server does not say that it did not run it.
+    :param unconnected: whether no connection was established.
+    :param absent: whether the server is known to have left its address: nothing
+        listens there, or another server does.
+    :param broken: whether the connection closed before the response ended.
     """
 
     def __init__(
@@ -118,7 +121,7 @@
         absent: bool = False,
         broken: bool = False,
     ) -> None:
-        """Keep whether the order may have run."""
+        """Make an error; see the class for its parameters."""
         super().__init__(text)
         self.sent = sent
         self.unconnected = unconnected
@@ -127,16 +130,16 @@
 
 
 class BackpressureError(UpstreamError):
-    """This router kept a request from a backend server; nothing went out."""
+    """Backpressure of a backend server; nothing was sent to it."""
 
     def __init__(self, reason: str) -> None:
-        """Keep the reason."""
+        """Make an error from the server's state, such as ``it leaves``."""
         super().__init__(f'held back: {reason}', sent=False, unconnected=True)
 
 
 class AdminError(DykemastError):
-    """The administration API refused a command, or did not answer."""
+    """The administration API refused a command, or did not respond."""
 
 
 class StaleRevisionError(DykemastError):
-    """Another operator's configuration came first: read it and retry."""
+    """A newer configuration was submitted meanwhile: read it and retry."""
--- a/src/dykemast/_internal/models/caller_request.py
+++ b/src/dykemast/_internal/models/caller_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, decoded."""
+"""A decoded request of a caller."""
 
 from typing import NamedTuple
 
@@ -6,8 +6,8 @@
 class PromptPart(NamedTuple):
     """One part of a prompt.
 
-    :param key: equal for equal parts.
-    :param tokens: its length.
+    :param key: hash of the part; equal for equal parts.
+    :param tokens: length in tokens.
     """
 
     key: str
@@ -15,20 +15,20 @@
 
 
 class CallerRequest(NamedTuple):
-    """One request of a caller.
+    """A request of a caller.
 
-    :param request_id: chosen by the caller, fresh for each attempt.
+    :param request_id: chosen by the caller, unique for each attempt.
     :param method: HTTP method.
     :param host: host name, without a port.
     :param path: path, decoded.
-    :param target: path and query as they were sent.
+    :param target: path and query as sent.
     :param key: the caller's key; empty when there is none.
-    :param timeout_s: seconds that the caller will wait.
-    :param headers: fields to be passed on.
+    :param timeout_s: seconds that the caller waits; None when not given.
+    :param headers: header fields to forward.
     :param prompt_tokens: declared length of the prompt; 0 for none.
-    :param output_tokens: most tokens to come out; 0 for none.
+    :param output_tokens: declared bound of output tokens; 0 for none.
     :param prompt: parts of the prompt in order.
-    :param last_event_id: last event that the caller has; empty for none.
+    :param last_event_id: Last-Event-ID of a resumed stream; empty for none.
     """
 
     request_id: str
--- a/src/dykemast/_internal/models/requests.py
+++ b/src/dykemast/_internal/models/requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers, and refusals."""
+"""Requests of callers and refusals, as ``dykemast router`` models them."""
 
 import enum
 from types import MappingProxyType
@@ -14,7 +14,7 @@
 
 
 class Code(enum.StrEnum):
-    """Why a request was refused; docs/api.md explains each."""
+    """Reason of a refusal; docs/api.md explains each."""
 
     bad_request = 'bad_request'
     bad_key = 'bad_key'
@@ -62,12 +62,12 @@
 
 
 class Refusal(NamedTuple):
-    """A request that gets no answer of a backend server.
+    """A refusal of a request.
 
-    :param code: why.
+    :param code: the reason.
     :param text: what happened and what to do.
-    :param ran: whether it ran.
-    :param retry_after: seconds after which coming back may help; 0 for none.
+    :param ran: whether the request ran.
+    :param retry_after: seconds for the Retry-After header; 0 for no header.
     """
 
     code: Code
@@ -77,15 +77,15 @@
 
 
 class RequestContext(NamedTuple):
-    """What a caller asks for, apart from the order itself.
+    """Data on a request besides what is sent to a backend server.
 
     :param request: id made by the router.
-    :param workspace: who asks.
-    :param key: idempotency key, the caller's or the request id.
-    :param repeatable: whether running it twice does no harm.
-    :param deadline: seconds on this router's clock by which to be done.
+    :param workspace: workspace of the caller.
+    :param key: idempotency key, from the caller or else the request id.
+    :param repeatable: whether the request may safely run twice.
+    :param deadline: time by which it has to end, in seconds of ``read_clock``.
     :param order_key: requests with the same non-empty key run in order.
-    :param budget: budget that the caller names; the policy decides.
+    :param budget: budget that the caller names; the policy may choose others.
     """
 
     request: str
@@ -98,18 +98,18 @@
 
 
 class BackendRequest(NamedTuple):
-    """What is to be sent to a backend server.
+    """A request to a backend server.
 
-    :param service: which service.
-    :param model: which model, empty for a plain service.
+    :param service: name of the service.
+    :param model: name of the model; empty for a plain service.
     :param path: path and query at the server.
     :param method: HTTP method.
-    :param headers: end-to-end headers to pass on.
+    :param headers: end-to-end headers to forward.
     :param body: bytes to send.
-    :param token_limit: tokens it can consume at the most.
-    :param prompt_token_limit: part of the bound that is the prompt's.
+    :param token_limit: bound on the tokens that it can consume.
+    :param prompt_token_limit: part of that bound for the prompt.
     :param prefix: hash of the prompt's leading part, for cache affinity.
-    :param priority: 0 to 9.
+    :param priority: 0 to 9, 9 most urgent.
     """
 
     service: str
--- a/src/dykemast/_internal/models/revisions.py
+++ b/src/dykemast/_internal/models/revisions.py
@@ -1,15 +1,15 @@
-"""Configuration that operators submit as one whole."""
+"""Configuration that operators submit, and its revisions."""
 
 from typing import Annotated, Final, Literal, NamedTuple
 
 from pydantic import Field
 from typing_extensions import NotRequired, TypedDict
 
-_MAX_OUTPUT: Final = 1_000_000
-_MAX_HORIZON: Final = 86400
-_MAX_CONCURRENT: Final = 100_000
+_MAX_OUTPUT_TOKENS: Final = 1_000_000
+_MAX_HORIZON_S: Final = 86400
+_MAX_CONCURRENT_REQUESTS: Final = 100_000
 
-#: Names are used in object names and headers, so their letters are few.
+#: Names are used in object names and headers, so few characters are allowed.
 Name = Annotated[str, Field(pattern='^[a-z0-9][a-z0-9.-]{0,62}$')]
 
 
@@ -18,9 +18,9 @@
 
     :param name: role of its backend servers in the platform's list.
     :param kind: model engine, or plain service.
-    :param fenced: whether its servers refuse old fencing numbers.
+    :param fenced: whether its servers reject outdated fencing tokens.
     :param call_tokens: tokens billed for a call of a plain service.
-    :param worker_slots: requests that one server takes at a time.
+    :param worker_slots: concurrent requests of one server.
     """
 
     __pydantic_config__ = {'extra': 'forbid'}
@@ -35,26 +35,26 @@
 class ModelSpec(TypedDict):
     """A model that callers may name.
 
-    :param name: as callers write it.
+    :param name: name in requests.
     :param service: engine service that serves it.
-    :param max_tokens: output cap when the caller gives none, and at most.
+    :param max_tokens: maximum and default bound of output tokens.
     """
 
     __pydantic_config__ = {'extra': 'forbid'}
 
     name: Name
     service: Name
-    max_tokens: Annotated[int, Field(ge=1, le=_MAX_OUTPUT)]
+    max_tokens: Annotated[int, Field(ge=1, le=_MAX_OUTPUT_TOKENS)]
 
 
 class WorkspaceSpec(TypedDict):
-    """A workspace: whose requests draw on which budgets.
+    """A workspace, whose budgets pay for its requests.
 
-    :param name: unique.
-    :param key_sha256: hash of its key, in hexadecimal.
+    :param name: unique name.
+    :param key_sha256: SHA-256 hash of its key, in hexadecimal.
     :param policy: name of its policy.
     :param lease_horizon: seconds of demand that leases cover.
-    :param concurrent: requests in progress at one router at most.
+    :param concurrent: maximum of requests in progress at one router.
     """
 
     __pydantic_config__ = {'extra': 'forbid'}
@@ -62,14 +62,16 @@
     name: Name
     key_sha256: Annotated[str, Field(pattern='^[0-9a-f]{64}$')]
     policy: Name
-    lease_horizon: NotRequired[Annotated[float, Field(ge=1, le=_MAX_HORIZON)]]
-    concurrent: NotRequired[Annotated[int, Field(ge=1, le=_MAX_CONCURRENT)]]
+    lease_horizon: NotRequired[Annotated[float, Field(ge=1, le=_MAX_HORIZON_S)]]
+    concurrent: NotRequired[
+        Annotated[int, Field(ge=1, le=_MAX_CONCURRENT_REQUESTS)]
+    ]
 
 
 class PolicySpec(TypedDict):
     """A policy: short expressions over ``request``, ``budget`` and ``fleet``.
 
-    :param name: unique.
+    :param name: unique name.
     :param allow: whether the request may spend; a bool.
     :param models: models to try, in order; a list of names.
     :param budgets: budgets to draw on, in order; a list of names.
@@ -86,7 +88,7 @@
 
 
 class Configuration(TypedDict):
-    """All that operators decide, as they write it."""
+    """The configuration as operators write it."""
 
     __pydantic_config__ = {'extra': 'forbid'}
 
@@ -97,9 +99,9 @@
 
 
 class Head(NamedTuple):
-    """Object that names the newest revision.
+    """Stored object that points to the newest revision.
 
-    :param number: grows by one with each revision.
+    :param number: number of that revision; grows by one with each.
     :param name: name of the revision's object; empty before the first.
     :param submissions: ids of the last submissions, newest last.
     """
@@ -110,11 +112,11 @@
 
 
 class Revision(NamedTuple):
-    """One accepted configuration.
+    """An accepted configuration.
 
-    :param number: its place in the order.
-    :param submission: id by which its submitter knows it again.
-    :param configuration: what was submitted.
+    :param number: revision number.
+    :param submission: id by which its submitter recognizes it.
+    :param configuration: the submitted configuration.
     """
 
     number: int
--- a/src/dykemast/_internal/models/settings.py
+++ b/src/dykemast/_internal/models/settings.py
@@ -5,36 +5,37 @@
 from pydantic import Field
 from typing_extensions import NotRequired, TypedDict
 
-_MIN_SECRET: Final = 16
+_MIN_SECRET_CHARACTERS: Final = 16
 _MAX_SHARDS: Final = 4096
-_DRAIN_TIMEOUT: Final = 120
-_RETRY_WINDOW: Final = 3600
+_DRAIN_TIMEOUT_S: Final = 120
+_RETRY_WINDOW_S: Final = 3600
 
 Port = Annotated[int, Field(ge=1, le=65535)]  # noqa: WPS432 - the TCP range
 
 
 class RouterSettings(TypedDict):
-    """What a router is told by its settings file.
+    """Settings file of a router.
 
     :param instance: the platform's id of this instance.
-    :param hall: where it stands.
-    :param host: IP number that it listens on.
+    :param hall: hall of this instance.
+    :param host: IP address to listen on.
     :param caller_port: port for callers.
     :param peer_port: port for other routers.
     :param admin_port: port of the administration API.
     :param platform: URL of the platform's object API.
     :param peer_key: secret shared by all routers.
-    :param operator_key_sha256: hash of the operators' key, in hexadecimal.
-    :param budget_shards: objects over which budgets are spread; the same on
-        all routers, and never changed once a budget exists.
+    :param operator_key_sha256: SHA-256 hash of the operators' key, in
+        hexadecimal.
+    :param budget_shards: objects over which budgets are distributed; the same
+        on all routers, and never changed once a budget exists.
     :param journal_shards: likewise for the journal.
-    :param list_lag: seconds by which the platform's list lags at most; the
-        same on all routers, since it decides how long after a write a death
-        still counts as soon after it.
-    :param keep_entry: seconds that callers may keep an entry answer.
+    :param list_lag: maximum lag of the platform's list in seconds; the same on
+        all routers, since it decides how long after a write the death of a
+        router still counts as soon after it.
+    :param keep_entry: TTL of entry responses in seconds.
     :param drain_timeout: seconds that a planned stop waits for requests.
-    :param retry_window: seconds for which the journal knows a key.
-    :param log_level: least level that is logged.
+    :param retry_window: seconds for which the journal keeps a key.
+    :param log_level: minimum level that is logged.
     """
 
     __pydantic_config__ = {'extra': 'forbid'}
@@ -46,7 +47,7 @@
     peer_port: Port
     admin_port: Port
     platform: Annotated[str, Field(pattern='^https?://')]
-    peer_key: Annotated[str, Field(min_length=_MIN_SECRET)]
+    peer_key: Annotated[str, Field(min_length=_MIN_SECRET_CHARACTERS)]
     operator_key_sha256: Annotated[str, Field(pattern='^[0-9a-f]{64}$')]
     budget_shards: NotRequired[Annotated[int, Field(ge=1, le=_MAX_SHARDS)]]
     journal_shards: NotRequired[Annotated[int, Field(ge=1, le=_MAX_SHARDS)]]
@@ -59,7 +60,7 @@
     ]
 
 
-class Timing(TypedDict):
+class OptionalSettings(TypedDict):
     """Defaults of the settings that are optional."""
 
     budget_shards: int
@@ -71,13 +72,13 @@
     log_level: str
 
 
-#: What holds where the settings file is silent.
-DEFAULT_SETTINGS = Timing(
+#: Values of settings that the file does not contain.
+DEFAULT_SETTINGS = OptionalSettings(
     budget_shards=4,
     journal_shards=4,
     list_lag=10,
     keep_entry=10,
-    drain_timeout=_DRAIN_TIMEOUT,
-    retry_window=_RETRY_WINDOW,
+    drain_timeout=_DRAIN_TIMEOUT_S,
+    retry_window=_RETRY_WINDOW_S,
     log_level='INFO',
 )
--- a/src/dykemast/_internal/operations/comparison.py
+++ b/src/dykemast/_internal/operations/comparison.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations."""
+"""Comparison of two configurations."""
 
 from collections.abc import Iterator
 from typing import Any, Final, NamedTuple
@@ -9,10 +9,10 @@
 
 
 class Difference(NamedTuple):
-    """One difference.
+    """One difference between two configurations.
 
-    :param section: part of the configuration.
-    :param name: of what differs.
+    :param section: section of the configuration.
+    :param name: name of the entry in the section.
     :param change: ``added``, ``removed`` or ``changed``.
     """
 
@@ -26,8 +26,8 @@
 ) -> list[Difference]:
     """Compare two configurations by the names in them.
 
-    :param old: what is in force.
-    :param new: what would be.
+    :param old: the configuration in force.
+    :param new: the configuration to compare with it.
     :returns: the differences, by section and name.
     """
     before: dict[str, Any] = dict(old)
--- a/src/dykemast/_internal/operations/event_loop_monitor.py
+++ b/src/dykemast/_internal/operations/event_loop_monitor.py
@@ -1,92 +1,92 @@
-"""Since when the event loop may have missed something, and how late it is."""
+"""Stalls and lag of the event loop."""
 
 from typing import Final
 
-#: Seconds between two notes.
-WATCH_PAUSE: Final = 0.1
-#: Seconds without a note that show that the loop stood still: a process that
-#: was paused, or had no processor.
-STALL_TIME: Final = 0.3
-#: Seconds without a note after which others may have told what this router
-#: has not heard: half of what users give until all know.
-LONG_PAUSE: Final = 1.0
-#: Part of a new overrun that goes into the lateness: one pause alone counts
-#: for a few notes, a loop that is late at each note within a second.
+#: Interval at which the loop is expected to record that it runs.
+RECORD_INTERVAL_S: Final = 0.1
+#: Time without a record that counts as a stall: the process was paused, or got
+#: no processor time.
+STALL_TIME_S: Final = 0.3
+#: Length of a stall in which this router may have missed updates of others:
+#: half the time that users allow until all routers have an update.
+LONG_STALL_S: Final = 1.0
+#: Weight of a new overrun in the moving average of the lag: a single pause
+#: counts for a few records, a loop that is always late shows within a second.
 SMOOTHING: Final = 0.3
-#: Seconds that one overrun counts for at most, so that a process that was
-#: paused for long is not taken for one without processor time.
-MAX_OVERRUN: Final = 0.6
-#: Seconds of lateness from which on a router has no processor time left for
-#: more requests: each event of a stream is then late by more than the 0.12 to
-#: 0.2 s that users allow, and a read of the store takes 2 s of turns.
-MAX_LATENESS: Final = 0.2
+#: Bound on what one overrun adds, so that a process that was paused for long
+#: does not count as overloaded.
+MAX_OVERRUN_S: Final = 0.6
+#: Lag above which a router counts as overloaded: each event of a stream is then
+#: later than the 0.12 to 0.2 s that users allow, and a read of the store takes
+#: 2 s of event loop turns.
+MAX_LATENESS_S: Final = 0.2
 
 
 class EventLoopMonitor:
-    """Moments at which the loop ran.
+    """Record of when the event loop ran, and of its lag.
 
-    :param now: seconds on the clock.
+    :param now: time in seconds.
     """
 
     def __init__(self, now: float) -> None:
-        """Begin to watch."""
-        self._seen = now
+        """Make a monitor for an event loop that runs now."""
+        self._recorded_at = now
         self._stalled_at = now
-        self._woke_at = now
-        self._long_woke_at = now
+        self._resumed_at = now
+        self._long_resumed_at = now
         self._lateness = float()
 
     def note(self, now: float) -> None:
-        """Note that the loop runs.
+        """Record that the event loop runs.
 
         :param now: seconds on the clock.
         """
-        if now - self._seen > STALL_TIME:
-            self._stalled_at = self._seen
-            self._woke_at = now
-        if now - self._seen > LONG_PAUSE:
-            self._long_woke_at = now
-        overrun = max(0, now - self._seen - WATCH_PAUSE)
+        if now - self._recorded_at > STALL_TIME_S:
+            self._stalled_at = self._recorded_at
+            self._resumed_at = now
+        if now - self._recorded_at > LONG_STALL_S:
+            self._long_resumed_at = now
+        overrun = max(0, now - self._recorded_at - RECORD_INTERVAL_S)
         self._lateness = self._blend(overrun)
-        self._seen = now
+        self._recorded_at = now
 
     def find_last_resume(self, now: float) -> float:
-        """Tell when the loop went on after it last stood still for long.
+        """Find when the event loop resumed after its last long stall.
 
-        :param now: seconds on the clock.
-        :returns: seconds; the start of the process when it never did.
+        :param now: time in seconds.
+        :returns: time in seconds; the start of the process without any stall.
         """
-        is_waking = now - self._seen > LONG_PAUSE
-        return now if is_waking else self._long_woke_at
+        is_resuming = now - self._recorded_at > LONG_STALL_S
+        return now if is_resuming else self._long_resumed_at
 
     def measure_lateness(self, now: float) -> float:
-        """Measure how late the loop gets to what is due.
+        """Compute the lag of the event loop.
 
-        :param now: seconds on the clock.
-        :returns: seconds, averaged over the last notes and the one due now.
+        :param now: time in seconds.
+        :returns: seconds, as a moving average that includes the record due now.
         """
-        overrun = now - self._seen - WATCH_PAUSE
-        # Before the next note is due, there is nothing to add.
+        overrun = now - self._recorded_at - RECORD_INTERVAL_S
+        # Nothing to add until the next record is due.
         return self._lateness if overrun < 0 else self._blend(overrun)
 
     def is_overloaded(self, now: float) -> bool:
-        """Tell whether the loop is too late to take more on.
+        """Tell whether the event loop is too late for more requests.
 
-        :param now: seconds on the clock.
+        :param now: time in seconds.
         :returns: whether it is.
         """
-        return self.measure_lateness(now) > MAX_LATENESS
+        return self.measure_lateness(now) > MAX_LATENESS_S
 
-    def find_earliest(self, now: float) -> float:
-        """Tell when a signal that is seen now may have come at the earliest.
+    def find_earliest_arrival(self, now: float) -> float:
+        """Find the earliest time at which a signal seen now may have arrived.
 
-        :param now: seconds on the clock.
-        :returns: when the loop was last known to run before it.
+        :param now: time in seconds.
+        :returns: when the event loop last ran before the signal.
         """
-        if now - self._woke_at < STALL_TIME:
+        if now - self._resumed_at < STALL_TIME_S:
             return self._stalled_at
-        return self._seen
+        return self._recorded_at
 
     def _blend(self, overrun: float) -> float:
-        counted = min(MAX_OVERRUN, overrun)
+        counted = min(MAX_OVERRUN_S, overrun)
         return self._lateness + SMOOTHING * (counted - self._lateness)
--- a/src/dykemast/_internal/operations/expressions.py
+++ b/src/dykemast/_internal/operations/expressions.py
@@ -1,9 +1,9 @@
 """Policies: short CEL expressions that operators submit.
 
-CEL has no loops but its macros over lists; one macro inside another is
-refused, so the work of a call is bounded by the length of its text times the
-length of the longest list. Starlark was weighed and dropped: nothing bounds
-the memory of one call (docs/design/policies.md).
+CEL has no loops except macros over lists, and nested macros are refused, so the
+work of an evaluation is bounded by the length of the expression times the
+length of the longest list. Starlark has no bound on the memory of one call
+(docs/design/policies.md).
 """
 
 import functools
@@ -14,41 +14,44 @@
 
 from dykemast._internal.exceptions import DykemastError
 
-#: Characters of one expression at most.
-MAX_LENGTH: Final = 2000
-#: Compiled expressions that are kept.
-MAX_COMPILED: Final = 4096
-# Any call that may bind a variable, so that macros of later versions of
-# the library are met as well.
+#: Bound on the characters of one expression.
+MAX_CHARACTERS: Final = 2000
+#: Size of the cache of compiled expressions.
+MAX_CACHED_EXPRESSIONS: Final = 4096
+# Matches any call that may bind a variable, so that macros of later versions of
+# the library are covered.
 _MACRO: Final = re.compile(r'\.\s*\w+\s*\(\s*\w+\s*,')
-_TEXTS: Final = re.compile(r'"(?:[^"\\]|\\.)*"|\'(?:[^\'\\]|\\.)*\'')
-#: What ``cel`` raises for a text or a call that is wrong.
+_STRING_LITERALS: Final = re.compile(r'"(?:[^"\\]|\\.)*"|\'(?:[^\'\\]|\\.)*\'')
+#: Exceptions of ``cel`` for an invalid expression or a failed evaluation.
 _CEL_ERRORS: Final = (ValueError, RuntimeError, TypeError, KeyError)
 
 
 class PolicyError(DykemastError):
-    """An expression of a policy is wrong or failed.
+    """An expression of a policy is invalid or failed.
 
-    :param field: the expression.
+    :param field: field of the policy that has the expression.
     """
 
     def __init__(self, field: str, text: str) -> None:
-        """Keep the field."""
+        """Make an error on one field."""
         super().__init__(text)
         self.field = field
 
 
-@functools.lru_cache(maxsize=MAX_COMPILED)
+@functools.lru_cache(maxsize=MAX_CACHED_EXPRESSIONS)
 def compile_expression(field: str, text: str) -> Any:
-    """Check an expression and compile it.
+    """Validate an expression and compile it.
 
-    :param field: its name, for errors.
+    :param field: field of the policy, for errors.
     :param text: the expression.
     :returns: the compiled program.
-    :raises PolicyError: when it is not accepted.
+    :raises PolicyError: when the expression is too long, nests macros or does
+        not compile.
     """
-    if len(text) > MAX_LENGTH:
-        raise PolicyError(field, f'longer than {MAX_LENGTH} characters.')
+    if len(text) > MAX_CHARACTERS:
+        raise PolicyError(
+            field, f'longer than {MAX_CHARACTERS} characters: got {len(text)}.'
+        )
     if _nests_macros(text):
         raise PolicyError(field, 'a list macro inside another is refused.')
     try:
@@ -57,14 +60,14 @@
         raise PolicyError(field, str(error)) from error
 
 
-def run_expression(field: str, text: str, view: dict[str, Any]) -> Any:
-    """Run an expression.
+def evaluate_expression(field: str, text: str, view: dict[str, Any]) -> Any:
+    """Evaluate an expression.
 
-    :param field: its name, for errors.
+    :param field: field of the policy, for errors.
     :param text: the expression.
-    :param view: the names that it may use.
-    :returns: what it gives.
-    :raises PolicyError: when it fails.
+    :param view: variables that it may use.
+    :returns: its value.
+    :raises PolicyError: when it is invalid or fails.
     """
     program = compile_expression(field, text)
     try:
@@ -74,7 +77,7 @@
 
 
 def _nests_macros(text: str) -> bool:
-    bare = _TEXTS.sub('""', text)
+    bare = _STRING_LITERALS.sub('""', text)
     return any(
         _MACRO.search(_cut_arguments(bare[macro.end() :]))
         for macro in _MACRO.finditer(bare)
@@ -82,12 +85,12 @@
 
 
 def _cut_arguments(text: str) -> str:
-    """Cut a text at the parenthesis that closes the one before it."""
+    """Truncate a text at the parenthesis that closes the one before it."""
     depth = 1
-    for index, sign in enumerate(text):
-        if sign == '(':
+    for index, character in enumerate(text):
+        if character == '(':
             depth += 1
-        elif sign == ')':
+        elif character == ')':
             depth -= 1
         if depth == 0:
             return text[:index]
--- a/src/dykemast/_internal/operations/policies.py
+++ b/src/dykemast/_internal/operations/policies.py
@@ -1,26 +1,26 @@
-"""What a policy decides about one request."""
+"""Evaluation of a policy for one request."""
 
 from typing import Any, Final, NamedTuple
 
 from dykemast._internal.models.revisions import PolicySpec
 from dykemast._internal.operations.expressions import (
     PolicyError,
-    run_expression,
+    evaluate_expression,
 )
 
-#: Names in a list that an expression gives, at most.
+#: Bound on the names in a list that an expression gives.
 MAX_NAMES: Final = 16
-#: Priority of requests whose policy gives none, from 0 to 9.
+#: Priority of requests whose policy gives none; 0 to 9, 9 most urgent.
 DEFAULT_PRIORITY: Final = 5
-#: Whether requests may spend whose policy does not say.
+#: Whether requests may spend when their policy has no ``allow``.
 DEFAULT_ALLOW: Final = True
-#: Budget that is drawn on when a policy names none.
+#: Budget that pays when a policy names none.
 DEFAULT_BUDGET: Final = 'main'
 _MAX_PRIORITY: Final = 9
 
 
 class Decision(NamedTuple):
-    """What a policy decides about a request.
+    """Result of a policy for one request.
 
     :param allow: whether it may spend.
     :param models: models to try, in order.
@@ -39,41 +39,42 @@
     view: dict[str, Any],
     model: str,
 ) -> Decision:
-    """Run a policy.
+    """Evaluate a policy for one request.
 
-    :param policy: its expressions.
+    :param policy: the policy with its expressions.
     :param view: values of ``request``, ``budget`` and ``fleet``.
     :param model: the model that the request names.
     :returns: the decision.
     :raises PolicyError: when an expression fails or gives the wrong type.
     """
-    priority = _run(policy, 'priority', view, DEFAULT_PRIORITY)
+    priority = _evaluate(policy, 'priority', view, DEFAULT_PRIORITY)
     return Decision(
-        allow=_run(policy, 'allow', view, DEFAULT_ALLOW),
-        models=_run_names(policy, 'models', view, model),
-        budgets=_run_names(policy, 'budgets', view, DEFAULT_BUDGET),
+        allow=_evaluate(policy, 'allow', view, DEFAULT_ALLOW),
+        models=_evaluate_names(policy, 'models', view, model),
+        budgets=_evaluate_names(policy, 'budgets', view, DEFAULT_BUDGET),
         priority=min(_MAX_PRIORITY, max(0, priority)),
     )
 
 
-def _run(policy: PolicySpec, field: str, view: Any, otherwise: Any) -> Any:
+def _evaluate(policy: PolicySpec, field: str, view: Any, default: Any) -> Any:
     texts: dict[str, Any] = dict(policy)
     if field not in texts:
-        return otherwise
-    outcome = run_expression(field, texts[field], view)
-    if isinstance(outcome, otherwise.__class__):
+        return default
+    outcome = evaluate_expression(field, texts[field], view)
+    if isinstance(outcome, default.__class__):
         return outcome
-    kind = type(otherwise).__name__
-    raise PolicyError(field, f'must give a {kind}.')
+    kind = type(default).__name__
+    got = type(outcome).__name__
+    raise PolicyError(field, f'must give a {kind}, got {got}.')
 
 
-def _run_names(
+def _evaluate_names(
     policy: PolicySpec,
     field: str,
     view: Any,
-    otherwise: str,
+    default: str,
 ) -> tuple[str, ...]:
-    names = _run(policy, field, view, [otherwise])
+    names = _evaluate(policy, field, view, [default])
     texts = [name for name in names if isinstance(name, str)]
     if len(names) > MAX_NAMES or len(texts) < len(names):
         raise PolicyError(field, f'must give up to {MAX_NAMES} names.')
--- a/src/dykemast/_internal/operations/policy_check.py
+++ b/src/dykemast/_internal/operations/policy_check.py
@@ -1,4 +1,4 @@
-"""Check a policy before it is accepted: compile it, then try it."""
+"""Validation of a policy: compilation and a trial on a sample request."""
 
 from typing import Any, Final
 
@@ -9,25 +9,25 @@
 )
 from dykemast._internal.operations.policies import evaluate_policy
 
-#: Expressions that a policy may have.
-EXPRESSIONS: Final = frozenset(('allow', 'models', 'budgets', 'priority'))
+#: Fields of a policy that are expressions.
+EXPRESSION_FIELDS: Final = frozenset(('allow', 'models', 'budgets', 'priority'))
 _SAMPLE_BYTES: Final = 100
 _SAMPLE_TOKENS: Final = 1000
 
 
-def try_policy(
+def check_policy(
     policy: PolicySpec,
     configuration: Configuration,
 ) -> list[PolicyError]:
-    """Compile a policy and run it once on an ordinary request.
+    """Compile a policy and evaluate it once on a sample request.
 
-    :param policy: its expressions.
-    :param configuration: the rest of the configuration.
-    :returns: what is wrong.
+    :param policy: the policy with its expressions.
+    :param configuration: the whole configuration.
+    :returns: errors; empty when the policy is valid.
     """
     texts: dict[str, Any] = dict(policy)
     failures = []
-    for field in sorted(EXPRESSIONS & texts.keys()):
+    for field in sorted(EXPRESSION_FIELDS & texts.keys()):
         failures.extend(_compile(field, texts[field]))
     if failures:
         return failures
@@ -39,9 +39,9 @@
 
 
 def make_sample_view(configuration: Configuration) -> dict[str, Any]:
-    """Make what a policy sees of an ordinary request.
+    """Make the variables of a policy for a sample request.
 
-    :param configuration: whose models are shown.
+    :param configuration: the configuration whose models are listed.
     :returns: values of ``request``, ``budget`` and ``fleet``.
     """
     counts = {model['name']: 1 for model in configuration['models']}
--- a/src/dykemast/_internal/serving/admission/__init__.py
+++ b/src/dykemast/_internal/serving/admission/__init__.py
@@ -1,5 +1,5 @@
-"""Whether a request may be served, and for whom.
+"""Admission of requests.
 
-In: an ASGI scope and the configuration. Out: a ticket with route, service,
-workspace and deadline, or a refusal; the count of what is in progress.
+In: an ASGI scope and the configuration. Out: an admitted request with route,
+service, workspace and deadline, or a refusal; the requests in progress.
 """
--- a/src/dykemast/_internal/serving/admission/admission.py
+++ b/src/dykemast/_internal/serving/admission/admission.py
@@ -1,4 +1,4 @@
-"""Decide whether a request may be served, and for whom."""
+"""Admission of a request: its route, service, workspace and deadline."""
 
 import random
 from typing import Any
@@ -23,24 +23,24 @@
 
 
 def admit(board: ServingBoard, scope: Any) -> AdmittedRequest:
-    """Let a request in.
+    """Admit a request.
 
     :param board: the blackboard.
     :param scope: ASGI scope of the request.
-    :returns: what decides its way.
-    :raises RefusedError: when it is not served.
+    :returns: the request with its route, service, workspace and deadline.
+    :raises RefusedError: when it is not admitted.
     """
     request = _decode(scope)
     table = find_table(board)
     route = find_route(board, table, request)
     started = read_clock()
     admitted = AdmittedRequest(
-        request=_keep_resumption(request, route),
+        request=_restrict_resumption(request, route),
         route=route,
-        service=table.services[_draw_share(route.shares)],
+        service=table.services[_draw_service(route.shares)],
         workspace=find_workspace(board, table, route, request),
         started=started,
-        deadline=started + _limit_time(request, route),
+        deadline=started + _compute_timeout(request, route),
         version=table.version,
     )
     _check_path(admitted)
@@ -50,7 +50,10 @@
 
 def _check_path(admitted: AdmittedRequest) -> None:
     if admitted.service.engine and is_engine_call(admitted.request.path):
-        details = {'path': admitted.request.path, 'reason': 'a call of routers'}
+        details = {
+            'path': admitted.request.path,
+            'reason': 'this path is reserved for calls from routers',
+        }
         raise RefusedError(RefusalCode.no_route, details)
 
 
@@ -61,21 +64,23 @@
         details = {'reason': str(error)}
         raise RefusedError(RefusalCode.malformed, details) from error
     if not request.request_id:
-        raise RefusedError(RefusalCode.malformed, {'reason': 'no id'})
+        raise RefusedError(
+            RefusalCode.malformed, {'reason': 'the request has no id'}
+        )
     return request
 
 
-def _keep_resumption(request: CallerRequest, route: Route) -> CallerRequest:
-    """Forget where a caller would go on, unless its route allows that."""
+def _restrict_resumption(request: CallerRequest, route: Route) -> CallerRequest:
+    """Remove the last event id, unless streams of the route are resumable."""
     return request if route.resumable else request._replace(last_event_id='')
 
 
-def _limit_time(request: CallerRequest, route: Route) -> float:
+def _compute_timeout(request: CallerRequest, route: Route) -> float:
     if request.timeout_s is None:
         return route.timeout
     return min(request.timeout_s, route.timeout)
 
 
-def _draw_share(shares: tuple[Share, ...]) -> str:
+def _draw_service(shares: tuple[Share, ...]) -> str:
     weights = [share.weight for share in shares]
     return random.choices(shares, weights)[0].service
--- a/src/dykemast/_internal/serving/admission/checks.py
+++ b/src/dykemast/_internal/serving/admission/checks.py
@@ -1,4 +1,4 @@
-"""Whether this router may let a request in, by what is known now."""
+"""Checks of this router's state that precede the admission of a request."""
 
 from typing import Any, Final
 
@@ -26,39 +26,39 @@
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds after which a caller may come back when what is known is too old: a
-#: read takes less, and other routers are likely to know.
-CURRENT_RETRY: Final = 0.2
-#: The same while the store is away, which lasts for seconds.
-AWAY_RETRY: Final = 2.0
-#: Seconds after which a caller of an overloaded router may come back to
-#: another one: at once.
-ELSEWHERE_RETRY: Final = 0.05
-#: The same when the others get too much as well: some times what it takes
-#: until this loop is in time again.
-CROWDED_RETRY: Final = 0.5
-#: Seconds after which a caller may come back when the servers there are may not
-#: get its request: halls are emptied for longer than most callers wait.
-HALLS_RETRY: Final = 2.0
-#: The same when there are no servers at all, as at a start.
+#: Retry-After when the cached data is too old: a read of the store takes less,
+#: and other routers are likely to have newer data.
+STALE_RETRY_S: Final = 0.2
+#: Retry-After while the store is unavailable, which lasts for seconds.
+UNAVAILABLE_RETRY_S: Final = 2.0
+#: Retry-After of an overloaded router while others have capacity: the caller
+#: may try another router at once.
+OTHER_ROUTER_RETRY_S: Final = 0.05
+#: Retry-After when the other routers are overloaded as well: several times
+#: what the event loop takes to catch up.
+ALL_OVERLOADED_RETRY_S: Final = 0.5
+#: Retry-After when backend servers exist but none is allowed: the evacuation of
+#: a hall lasts longer than most callers wait.
+EVACUATION_RETRY_S: Final = 2.0
+#: Retry-After when there are no backend servers at all, as after a start.
 NO_SERVER_RETRY_S: Final = 0.4
 
 
 def check_preconditions(board: ServingBoard) -> None:
-    """Check that this router has time, and knows enough, for a request.
+    """Check that this router is not overloaded and its data is recent.
 
     :param board: the blackboard.
-    :raises RefusedError: when it does not.
+    :raises RefusedError: when it is overloaded, or its data is too old.
     """
     _check_overload(board)
-    _check_current(board)
+    _check_data_age(board)
 
 
 def check_evacuations(board: ServingBoard) -> None:
-    """Check that it is known which halls are being emptied.
+    """Check that the list of evacuated halls is recent enough.
 
     :param board: the blackboard.
-    :raises RefusedError: when it is not.
+    :raises RefusedError: when it is too old.
     """
     known = get_evacuations_freshness(board)
     if not known.may_serve():
@@ -66,7 +66,7 @@
 
 
 def check_servers(board: ServingBoard, admitted: AdmittedRequest) -> None:
-    """Check that a server may get a request, before anything is held for it.
+    """Check that a server may get a request, before tokens are reserved.
 
     :param board: the blackboard.
     :param admitted: the request.
@@ -79,14 +79,14 @@
     raise RefusedError(
         RefusalCode.no_server,
         describe_restrictions(board, admitted),
-        HALLS_RETRY if listed else NO_SERVER_RETRY_S,
+        EVACUATION_RETRY_S if listed else NO_SERVER_RETRY_S,
     )
 
 
 def describe_restrictions(
     board: ServingBoard, admitted: AdmittedRequest
 ) -> dict[str, Any]:
-    """Describe what bounds the servers that may get a request.
+    """Describe what restricts the servers that may get a request.
 
     :param board: the blackboard.
     :param admitted: the request.
@@ -105,13 +105,13 @@
 
 
 def refuse_for_now(known: Freshness, **details: Any) -> RefusedError:
-    """Refuse what better knowledge might allow.
+    """Make a temporary refusal of what newer data might allow.
 
-    :param known: what is known.
-    :param details: what decided it besides.
-    :returns: the refusal; it tells when to come back.
+    :param known: age of the cached data.
+    :param details: further fields for the log.
+    :returns: the refusal, with a Retry-After.
     """
-    retry_after = AWAY_RETRY if known.store_away else CURRENT_RETRY
+    retry_after = UNAVAILABLE_RETRY_S if known.store_away else STALE_RETRY_S
     shown = known._asdict()
     return RefusedError(
         RefusalCode.not_current, {**shown, **details}, retry_after
@@ -119,9 +119,8 @@
 
 
 def _check_overload(board: ServingBoard) -> None:
-    # Let in nevertheless, a request would wait with all others until its
-    # caller leaves, and delay streams, news and reads of the store, while other
-    # routers have time.
+    # An overloaded router that admits requests serves none of them before
+    # their callers leave, and delays streams, gossip and reads of the store.
     now = read_clock()
     if not board.watch.is_overloaded(now):
         return
@@ -131,13 +130,13 @@
         'inflight': board.inflight,
         'elsewhere': elsewhere,
     }
-    retry_after = ELSEWHERE_RETRY if elsewhere else CROWDED_RETRY
+    retry_after = OTHER_ROUTER_RETRY_S if elsewhere else ALL_OVERLOADED_RETRY_S
     raise RefusedError(RefusalCode.overloaded, details, retry_after)
 
 
-def _check_current(board: ServingBoard) -> None:
-    # A change that has to be in force may be missing although the store
-    # answers; other routers have it.
+def _check_data_age(board: ServingBoard) -> None:
+    # A change that must be in force may be missing although the store
+    # responds; other routers have it.
     for known in (
         get_configuration_freshness(board),
         get_servers_freshness(board),
--- a/src/dykemast/_internal/serving/admission/in_progress.py
+++ b/src/dykemast/_internal/serving/admission/in_progress.py
@@ -1,4 +1,4 @@
-"""Requests in progress: let in, counted, cut off."""
+"""Requests in progress: admission during a stop, tracking, cancellation."""
 
 import asyncio
 import contextlib
@@ -11,20 +11,20 @@
     RefusedError,
 )
 from dykemast._internal.serving.requests.admitted_request import AdmittedRequest
-from dykemast._internal.utils.waiting import POLL_TIME
+from dykemast._internal.utils.waiting import POLL_INTERVAL_S
 
 
-#: Seconds after which a caller may come back to another router when this one
-#: is stopping: about the time that a new entry answer takes.
-STOPPING_RETRY: Final = 0.05
+#: Retry-After of a stopping router: about the time that the caller takes to
+#: fetch the addresses of other routers.
+STOPPING_RETRY_S: Final = 0.05
 
 
 def check_stop(board: ServingBoard, admitted: AdmittedRequest) -> None:
-    """Check that a request will end before this router.
+    """Check that a request will end before this router stops.
 
     :param board: the blackboard.
     :param admitted: the request.
-    :raises RefusedError: when this router is stopping and might cut it off.
+    :raises RefusedError: when the stop of this router might cancel it.
     """
     plan = board.stop_plan
     if plan is None:
@@ -39,14 +39,14 @@
         'usual_s': round(usual, 3),
         'router_left_s': round(plan.cancel_at - admitted.started, 3),
     }
-    raise RefusedError(RefusalCode.stopping, details, STOPPING_RETRY)
+    raise RefusedError(RefusalCode.stopping, details, STOPPING_RETRY_S)
 
 
 @contextlib.contextmanager
-def count_running(
+def track_request(
     board: ServingBoard, admitted: AdmittedRequest
 ) -> Iterator[None]:
-    """Count the current task as a request in progress.
+    """Track the current task as a request in progress.
 
     :param board: the blackboard.
     :param admitted: the request.
@@ -60,12 +60,12 @@
         board.tasks.discard(task)
 
 
-async def cut_off(board: ServingBoard) -> None:
-    """End what is in progress, so that it is answered and accounted for.
+async def cancel_requests(board: ServingBoard) -> None:
+    """Cancel requests in progress, so that they get a response and are billed.
 
     :param board: the blackboard.
     """
     for task in board.tasks:
         task.cancel()
     if board.tasks:
-        await asyncio.wait(board.tasks, timeout=POLL_TIME)
+        await asyncio.wait(board.tasks, timeout=POLL_INTERVAL_S)
--- a/src/dykemast/_internal/serving/admission/lookups.py
+++ b/src/dykemast/_internal/serving/admission/lookups.py
@@ -1,4 +1,4 @@
-"""Look up what the configuration in force says of a request."""
+"""Lookups in the configuration in force: route and workspace of a request."""
 
 from typing import Any, Final
 
@@ -22,22 +22,23 @@
 from dykemast._internal.serving.state.board import ServingBoard
 
 
-#: Seconds after which a caller may come back when no configuration is known:
-#: a router that starts reads it within a few tenths.
-CONFIGURATION_RETRY: Final = 0.5
+#: Retry-After when no configuration is loaded yet: a starting router reads it
+#: within a few tenths of a second.
+CONFIGURATION_RETRY_S: Final = 0.5
 
 
 def find_table(board: ServingBoard) -> RoutingTable:
-    """Find the configuration by which a request is decided.
+    """Get the configuration that applies to a request.
 
     :param board: the blackboard.
     :returns: the configuration in force.
-    :raises RefusedError: when this router may not decide now.
+    :raises RefusedError: when none is loaded, the router is overloaded, or its
+        data is too old.
     """
     table = board.table
     if table is None:
         raise RefusedError(
-            RefusalCode.no_configuration, retry_after=CONFIGURATION_RETRY
+            RefusalCode.no_configuration, retry_after=CONFIGURATION_RETRY_S
         )
     check_preconditions(board)
     return table
@@ -74,8 +75,8 @@
     :param table: configuration in force.
     :param route: route of the request.
     :param request: the request.
-    :returns: its workspace; None where none is asked for.
-    :raises RefusedError: when its key belongs to none.
+    :returns: its workspace; None where the route needs none.
+    :raises RefusedError: when its key belongs to no workspace.
     """
     if route.public or not table.workspaces:
         return None
@@ -90,7 +91,7 @@
     code: RefusalCode,
     details: dict[str, Any],
 ) -> RefusedError:
-    """Refuse for good, or for now where a newer version may allow it."""
+    """Refuse for good, or with a Retry-After where newer data may allow it."""
     known = get_configuration_freshness(board)
     if not known.may_refuse_permanently():
         return refuse_for_now(known, instead=code.name, **details)
--- a/src/dykemast/_internal/serving/process/__init__.py
+++ b/src/dykemast/_internal/serving/process/__init__.py
@@ -1,5 +1,5 @@
-"""The life of the process: wiring, loops, listeners, reload, stop.
+"""Lifecycle of the process: wiring, loops, listeners, reload, stop.
 
-In: settings and signals. Out: a router that serves until it is told to stop;
-what callers ask besides requests (entry, readiness, metrics).
+In: settings and signals. Out: a router that serves until it is stopped, and
+its endpoints for entry, readiness and metrics.
 """
--- a/src/dykemast/_internal/serving/process/application.py
+++ b/src/dykemast/_internal/serving/process/application.py
@@ -1,4 +1,4 @@
-"""ASGI application: the way of each request."""
+"""ASGI application for requests of callers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -6,8 +6,8 @@
 
 from dykemast._internal.platform.request_headers import find_request_id
 from dykemast._internal.serving.admission.admission import admit
-from dykemast._internal.serving.admission.in_progress import count_running
-from dykemast._internal.serving.process import records
+from dykemast._internal.serving.admission.in_progress import track_request
+from dykemast._internal.serving.process import request_records
 from dykemast._internal.serving.relay import dispatch, exchange
 from dykemast._internal.serving.parts import Parts
 from dykemast._internal.serving.members.load_measurement import (
@@ -22,18 +22,18 @@
     Responder,
     Send,
     read_body,
-    run_until_left,
+    run_until_disconnect,
 )
 from dykemast._internal.utils.clock import read_clock
 
 Application = Callable[[Any, Receive, Send], Awaitable[None]]
 
-#: Bytes of a body that are read while no configuration says how many.
-DEFAULT_BODY_LIMIT: Final = 1_048_576
+#: Applies while no configuration is loaded.
+DEFAULT_BODY_LIMIT_BYTES: Final = 1_048_576
 
 
 def make_application(parts: Parts) -> Application:
-    """Make the application that callers meet.
+    """Make the application that serves callers.
 
     :param parts: parts of the program.
     :returns: the ASGI application.
@@ -47,19 +47,21 @@
         parts.board.inflight += 1
         parts.board.arrivals.record(1, started)
         try:
-            with records.tell_failure(parts, scope):
+            with request_records.record_failure(parts, scope):
                 await _serve(parts, scope, receive, responder)
         except RefusedError as error:
-            records.note_refusal(parts, error, find_request_id(scope), started)
+            request_records.record_refusal(
+                parts, error, find_request_id(scope), started
+            )
             await responder.refuse(error)
         except ConnectionError as error:
-            records.log_left(find_request_id(scope), error)
+            request_records.log_disconnect(find_request_id(scope), error)
         except asyncio.CancelledError:
-            # This router ends, and asked for it: no one else cancels.
-            cut = records.CutRequest(
+            # Only the stop of this router cancels requests.
+            cancelled = request_records.CancelledRequest(
                 find_request_id(scope), started, responder.begun
             )
-            records.note_cut(parts, cut)
+            request_records.record_cancelled(parts, cancelled)
             await responder.refuse(RefusedError(RefusalCode.cut_by_stop))
         finally:
             parts.board.inflight -= 1
@@ -75,12 +77,12 @@
 ) -> None:
     body = await read_body(receive, _limit_body(parts))
     admitted = admit(parts.board, scope)
-    records.log_admitted(admitted, _describe_connection(scope))
-    with count_running(parts.board, admitted):
-        asked = exchange.open_exchange(parts, admitted, body, responder)
-        served = await run_until_left(dispatch.serve(asked), receive)
-    outcome = records.SERVED if served else 'caller_left'
-    records.note_end(parts, admitted, outcome)
+    request_records.log_admitted(admitted, _describe_connection(scope))
+    with track_request(parts.board, admitted):
+        opened = exchange.open_exchange(parts, admitted, body, responder)
+        served = await run_until_disconnect(dispatch.serve(opened), receive)
+    outcome = request_records.SERVED if served else 'caller_left'
+    request_records.record_end(parts, admitted, outcome)
 
 
 def _describe_connection(scope: Any) -> str:
@@ -90,4 +92,4 @@
 
 def _limit_body(parts: Parts) -> int:
     table = parts.board.table
-    return table.limits.body_bytes if table else DEFAULT_BODY_LIMIT
+    return table.limits.body_bytes if table else DEFAULT_BODY_LIMIT_BYTES
--- a/src/dykemast/_internal/serving/process/assembly.py
+++ b/src/dykemast/_internal/serving/process/assembly.py
@@ -1,4 +1,4 @@
-"""Parts of the program, put together."""
+"""Wiring of the program's parts."""
 
 from typing import NamedTuple
 
@@ -17,9 +17,9 @@
 class Assembly(NamedTuple):
     """All parts of the program.
 
-    :param parts: those that requests need.
-    :param upkeep: those that budgets need.
-    :param links: those that other routers need.
+    :param parts: parts that serve requests.
+    :param upkeep: parts that maintain budgets.
+    :param links: connections to other routers.
     """
 
     parts: Parts
@@ -28,7 +28,7 @@
 
 
 def assemble(board: ServingBoard) -> Assembly:
-    """Put the parts together; nothing runs yet.
+    """Wire the parts together, without starting any.
 
     :param board: the blackboard.
     :returns: the parts.
--- a/src/dykemast/_internal/serving/process/clock_watch.py
+++ b/src/dykemast/_internal/serving/process/clock_watch.py
@@ -1,69 +1,75 @@
-"""Watch whether the event loop is late, and whether the machine slept."""
+"""Detection of event loop lag and of suspensions of the machine."""
 
 import asyncio
 from typing import Final
 
-from dykemast._internal.operations.event_loop_monitor import WATCH_PAUSE
+from dykemast._internal.operations.event_loop_monitor import RECORD_INTERVAL_S
 from dykemast._internal.serving.knowledge.ages import compute_ages
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.utils.clock import (
     COUNTS_SUSPENSION,
-    read_asleep,
+    read_suspended_time,
     read_clock,
 )
 from dykemast._internal.utils.events import make_logger
 
 _log = make_logger('router')
 
-#: Seconds of lateness of the loop that are told, and between two such lines.
-TOLD_LATENESS: Final = 0.15
-LATE_PAUSE: Final = 1.0
-#: Seconds by which two readings of clocks may be off.
-MIN_SUSPENSION: Final = 0.05
+#: Event loop lag that is logged, and the minimum interval between such lines.
+LOGGED_LATENESS_S: Final = 0.15
+LATENESS_LOG_INTERVAL_S: Final = 1.0
+#: Shorter differences may come from reading two clocks one after the other.
+MIN_SUSPENSION_S: Final = 0.05
 
 
 async def watch_clock(board: ServingBoard) -> None:
-    """Note when the loop runs, and tell what kept it from that, for ever.
+    """Record that the event loop runs, and log what stalls it, for ever.
 
     :param board: the blackboard.
     """
     if not COUNTS_SUSPENSION:
-        _log('suspensions_not_counted', reason='no clock counts them here')
-    told_at = float()
-    asleep = read_asleep()
+        _log(
+            'suspensions_not_counted',
+            reason='this platform has no CLOCK_BOOTTIME',
+        )
+    logged_at = float()
+    suspended_s = read_suspended_time()
     while True:
         now = read_clock()
         board.watch.note(now)
-        asleep = _tell_suspension(board, asleep)
+        suspended_s = _log_suspension(board, suspended_s)
         lateness = board.watch.measure_lateness(now)
-        if lateness > TOLD_LATENESS and now > told_at + LATE_PAUSE:
-            told_at = now
-            _tell_late(board, lateness)
-        await asyncio.sleep(WATCH_PAUSE)
+        if (
+            lateness > LOGGED_LATENESS_S
+            and now > logged_at + LATENESS_LOG_INTERVAL_S
+        ):
+            logged_at = now
+            _log_lateness(board, lateness)
+        await asyncio.sleep(RECORD_INTERVAL_S)
 
 
-def _tell_suspension(board: ServingBoard, before: float) -> float:
-    """Tell of a suspension since the last look.
+def _log_suspension(board: ServingBoard, before: float) -> float:
+    """Log a suspension of the machine since the last call.
 
-    What was known before is older by that, and decides nothing once it is too
-    old, as all ages are read from the clock that counts it.
+    Ages of cached data need no correction: they are read from a clock that
+    counts the time of a suspension.
 
-    :returns: seconds asleep until now.
+    :returns: total seconds of suspension until now.
     """
-    asleep = read_asleep()
-    slept = asleep - before
-    if slept > MIN_SUSPENSION:
+    suspended_s = read_suspended_time()
+    new_s = suspended_s - before
+    if new_s > MIN_SUSPENSION_S:
         ages = compute_ages(board)
         _log(
             'suspended',
-            asleep_s=round(slept, 3),
+            asleep_s=round(new_s, 3),
             inflight=board.inflight,
             ages={kind: round(age, 3) for kind, age in ages.items()},
         )
-    return asleep
+    return suspended_s
 
 
-def _tell_late(board: ServingBoard, lateness: float) -> None:
+def _log_lateness(board: ServingBoard, lateness: float) -> None:
     ages = compute_ages(board)
     _log(
         'loop_late',
--- a/src/dykemast/_internal/serving/process/description.py
+++ b/src/dykemast/_internal/serving/process/description.py
@@ -1,4 +1,4 @@
-"""State of this router in figures, for its log and its metrics."""
+"""Gauges of this router's state, for its log and its metrics."""
 
 from dykemast._internal.serving.knowledge.ages import compute_ages
 from dykemast._internal.serving.knowledge.cold_servers import is_cold
@@ -8,10 +8,10 @@
 
 
 def describe_state(parts: Parts) -> dict[str, float]:
-    """Describe the state of this router in figures.
+    """Collect the gauges of this router's state.
 
     :param parts: parts of the program.
-    :returns: figures by name.
+    :returns: values by name.
     """
     board = parts.board
     now = read_clock()
@@ -45,6 +45,6 @@
 
 
 def _describe_ages(board: ServingBoard) -> dict[str, float]:
-    """Describe how old the knowledge of each kind in the store may be."""
+    """Collect the ages of cached data, in seconds, by kind of object."""
     ages = compute_ages(board)
     return {f'age_s_{kind}': round(age, 3) for kind, age in ages.items()}
--- a/src/dykemast/_internal/serving/process/entry.py
+++ b/src/dykemast/_internal/serving/process/entry.py
@@ -1,4 +1,4 @@
-"""Answers that are not requests of a route: entry, readiness, metrics."""
+"""Endpoints besides the routes: entry, readiness and metrics."""
 
 import random
 from typing import Any, Final
@@ -36,7 +36,7 @@
 )
 from dykemast._internal.utils.clock import read_clock
 
-#: Addresses in one answer at most.
+#: Bound on the addresses in one entry response.
 MAX_ADDRESSES: Final = 64
 _OK: Final = 200
 _NOT_READY: Final = 503
@@ -44,8 +44,8 @@
 _TEXT: Final = (b'content-type', b'text/plain; version=0.0.4')
 
 
-def make_side_application(parts: Parts) -> Any:
-    """Make the application for all that is not a request of a route.
+def make_endpoint_application(parts: Parts) -> Any:
+    """Make the application for the entry, readiness and metrics listeners.
 
     :param parts: parts of the program.
     :returns: the ASGI application.
@@ -67,17 +67,17 @@
 
 
 def is_ready(board: ServingBoard) -> bool:
-    """Tell whether this router takes requests.
+    """Tell whether this router is ready for requests.
 
-    One in which a loop fails each time may serve by what is no longer so.
+    A router whose background loop keeps failing may serve outdated data.
 
     :param board: the blackboard.
-    :returns: whether it does.
+    :returns: whether it is.
     """
     if board.table is None or board.stopping:
         return False
     if get_evacuations_freshness(board).outdated:
-        # Which halls are being emptied is not known yet.
+        # The list of evacuated halls has not been read, or is too old.
         return False
     return not board.loops.list_failing(read_clock())
 
@@ -111,7 +111,8 @@
 
 
 def _list_options(board: ServingBoard) -> list[EntryOption]:
-    # If nobody is heard, this router is more likely cut off than all others.
+    # If no peer is heard, this router is more likely to be isolated than all
+    # others to be gone.
     peers = list(list_live_peers(board)) or list(board.peers.values())
     options = [
         _describe_peer(board, peer)
--- a/src/dykemast/_internal/serving/process/loops.py
+++ b/src/dykemast/_internal/serving/process/loops.py
@@ -1,4 +1,4 @@
-"""Loops that run as long as the program does."""
+"""Background loops that run as long as the program does."""
 
 import asyncio
 from functools import partial
@@ -25,48 +25,46 @@
     PeriodicRead,
     read_periodically,
 )
-from dykemast._internal.serving.process.loop_ends import tell_end
+from dykemast._internal.serving.process.loop_failures import log_loop_failure
 from dykemast._internal.serving.process.reload import follow_settings
 from dykemast._internal.utils.events import LineHandler, make_logger
 from dykemast._internal.utils.supervision import BackgroundLoop, start_loops
 
 _log = make_logger('router')
 
-#: Seconds that the configuration and the list of backend servers may be old
-#: before they are read. To that come 0.1 s until it is seen, 0.3 s for a
-#: connection that is silent and 0.1 s for the answer: together less than the
-#: 2 s that users allow.
-CONFIGURATION_AGE: Final = 1.4
-SERVERS_AGE: Final = 1.4
-#: The same for halls that are emptied, as a part of what is promised: each read
-#: is a priced call.
+#: Age at which the configuration and the list of backend servers are read
+#: again. Noticing that takes 0.1 s, a silent connection 0.3 s and the response
+#: 0.1 s: in total less than the 2 s that users allow.
+CONFIGURATION_AGE_S: Final = 1.4
+SERVERS_AGE_S: Final = 1.4
+#: The same for evacuated halls, as a fraction of the time within which an
+#: evacuation has to be in force: each read is a priced call.
 EVACUATIONS_SHARE: Final = 0.8
-#: Seconds between two lines on the state of the router.
-STATE_PAUSE: Final = 10.0
+STATE_LOG_INTERVAL_S: Final = 10.0
 
 
 def start_first_loops(
     board: ServingBoard,
     lines: LineHandler,
 ) -> list[asyncio.Task[None]]:
-    """Start the loops that run before the program has any parts.
+    """Start the loops that run before the parts of the program exist.
 
     :param board: the blackboard.
-    :param lines: log lines to be written.
+    :param lines: handler of log lines.
     :returns: their tasks.
     """
     first = (
         BackgroundLoop('write_lines', lines.write_lines),
         BackgroundLoop('follow_settings', partial(follow_settings, board)),
     )
-    return start_loops(first, board.loops, tell_end)
+    return start_loops(first, board.loops, log_loop_failure)
 
 
 def list_loops(assembly: Assembly) -> list[BackgroundLoop]:
     """List the loops of the program.
 
     :param assembly: its parts.
-    :returns: the loops; none runs yet.
+    :returns: the loops, not yet started.
     """
     board = assembly.parts.board
     store = assembly.upkeep.store
@@ -101,8 +99,8 @@
 
 def _list_checked(board: ServingBoard) -> list[PeriodicRead]:
     periodic_read = [
-        PeriodicRead(configuration.make_updater(board), CONFIGURATION_AGE),
-        PeriodicRead(server_entries.make_updater(board), SERVERS_AGE),
+        PeriodicRead(configuration.make_updater(board), CONFIGURATION_AGE_S),
+        PeriodicRead(server_entries.make_updater(board), SERVERS_AGE_S),
     ]
     promised = board.settings.bounds.evacuate_time
     if promised is not None:
@@ -134,6 +132,6 @@
 
 async def _log_state(assembly: Assembly) -> None:
     while True:
-        await asyncio.sleep(STATE_PAUSE)
+        await asyncio.sleep(STATE_LOG_INTERVAL_S)
         state = describe_state(assembly.parts)
         _log('state', **state, store_calls=assembly.upkeep.store.calls)
--- a/src/dykemast/_internal/serving/process/planned_stop.py
+++ b/src/dykemast/_internal/serving/process/planned_stop.py
@@ -1,12 +1,12 @@
-"""Carry out a planned stop: no request is cut off that need not be."""
+"""Planned stop of a router that lets requests in progress finish."""
 
 import asyncio
 from typing import Final
 
 from dykemast._internal.network.listeners import close_listeners
 from dykemast._internal.operations.planned_stop import (
-    CLOSE_TIME,
-    LAST_GIVE_BACK_TIME,
+    CLOSE_TIME_S,
+    LAST_RETURN_TIME_S,
     StopPlan,
     plan_stop,
 )
@@ -23,37 +23,36 @@
 
 _log = make_logger('router')
 
-#: Seconds between two tries to give tokens back: those after which the writer
-#: tries again after a failure.
-GIVE_BACK_PAUSE: Final = AWAY_PAUSE
+#: The ledger writer itself retries no sooner after a failure.
+RETURN_RETRY_S: Final = AWAY_PAUSE
 
 
 async def stop_router(runtime: Runtime) -> None:
-    """Stop a router without cutting off a request that can be finished.
+    """Stop a router without cancelling a request that can finish in time.
 
-    Callers leave first, admission closes before the end is waited for, and
-    the process ends only after both: a request that is let in while nobody
-    waits for it any more would be cut off.
+    Callers are sent elsewhere first, then admission closes, and only then the
+    router waits for the last requests: one that is admitted after that wait
+    would be cancelled.
 
     :param runtime: the running router.
     """
     board = runtime.assembly.parts.board
     plan = _begin(board)
-    leaving = asyncio.create_task(_leave(runtime))
+    unlisting = asyncio.create_task(_unlist(runtime))
     await wait_until(
         lambda now: now > plan.linger_until and not board.inflight,
-        plan.give_back_at,
+        plan.return_tokens_at,
     )
     await _finish(runtime, plan)
-    await close_listeners(runtime.listeners, CLOSE_TIME)
-    leaving.cancel()
+    await close_listeners(runtime.listeners, CLOSE_TIME_S)
+    unlisting.cancel()
     _end(runtime)
     _log('stopped', inflight=board.inflight)
 
 
 def _begin(board: ServingBoard) -> StopPlan:
     now = read_clock()
-    since = board.watch.find_earliest(now)
+    since = board.watch.find_earliest_arrival(now)
     bounds = board.settings.bounds
     plan = plan_stop(now, since, compute_entry_ttl(board), bounds.stop_timeout)
     board.stopping = True
@@ -68,11 +67,10 @@
     return plan
 
 
-async def _leave(runtime: Runtime) -> None:
-    """Have other routers and entry answers leave this router out.
+async def _unlist(runtime: Runtime) -> None:
+    """Have other routers remove this router from their entry responses.
 
-    Runs beside the rest: a store that does not answer must not hold up the
-    stop.
+    Runs concurrently: a store that does not respond must not delay the stop.
     """
     board = runtime.assembly.parts.board
     await gossip.notify_all_peers(board, runtime.assembly.links.gossip)
@@ -80,30 +78,30 @@
 
 
 async def _finish(runtime: Runtime, plan: StopPlan) -> None:
-    """Let nothing in any more, and wait for what is in progress."""
+    """Close admission, and wait for the requests in progress."""
     board = runtime.assembly.parts.board
     board.stop_plan = plan.close()
     waited_for = board.inflight
     _log('admission_closed', inflight=waited_for)
     await asyncio.gather(
-        _give_back(runtime, plan.cancel_at),
+        _return_tokens(runtime, plan.cancel_at),
         wait_until(lambda _: not board.inflight, plan.cancel_at),
     )
-    await in_progress.cut_off(board)
+    await in_progress.cancel_requests(board)
     if waited_for:
-        # What these held and did not use.
-        await _give_back(runtime, read_clock() + LAST_GIVE_BACK_TIME)
+        # Unused tokens that these requests had reserved.
+        await _return_tokens(runtime, read_clock() + LAST_RETURN_TIME_S)
 
 
-async def _give_back(runtime: Runtime, until: float) -> None:
-    """Give unused tokens back, and try again while there is time."""
-    patience = max(0, until - read_clock())
+async def _return_tokens(runtime: Runtime, until: float) -> None:
+    """Return unused tokens, with retries until a point in time."""
+    timeout_s = max(0, until - read_clock())
     try:
-        async with asyncio.timeout(patience):
+        async with asyncio.timeout(timeout_s):
             while not await budget_upkeep.return_spare(runtime.assembly.upkeep):
-                await asyncio.sleep(GIVE_BACK_PAUSE)
+                await asyncio.sleep(RETURN_RETRY_S)
     except TimeoutError:
-        _log('tokens_not_given_back', tried_s=round(patience, 3))
+        _log('tokens_not_given_back', tried_s=round(timeout_s, 3))
 
 
 def _end(runtime: Runtime) -> None:
--- a/src/dykemast/_internal/serving/process/reload.py
+++ b/src/dykemast/_internal/serving/process/reload.py
@@ -1,4 +1,4 @@
-"""Follow changes of the settings file."""
+"""Reload of the settings file when it changes."""
 
 import asyncio
 from typing import Final
@@ -10,14 +10,14 @@
 
 _log = make_logger('settings')
 
-#: Seconds between two looks at the file: it may change without a signal.
-LOOK_PAUSE: Final = 2.0
+#: The file is polled, since it may change without a signal.
+POLL_INTERVAL_S: Final = 2.0
 
 
 def reload_settings(board: ServingBoard) -> None:
-    """Read the settings again; those before stay if they are not usable.
+    """Reload the settings; the previous ones stay if the file is invalid.
 
-    Addresses stay as they were opened at the start.
+    The name and the listen addresses are fixed at the start.
 
     :param board: the blackboard.
     """
@@ -34,13 +34,13 @@
 
 
 async def follow_settings(board: ServingBoard) -> None:
-    """Read the settings again when the file changes, for ever.
+    """Reload the settings whenever the file changes, for ever.
 
     :param board: the blackboard.
     """
     known = read_change_time()
     while True:
-        await asyncio.sleep(LOOK_PAUSE)
+        await asyncio.sleep(POLL_INTERVAL_S)
         latest = read_change_time()
         if latest != known:
             known = latest
--- a/src/dykemast/_internal/serving/process/records.py
+++ b/src/dykemast/_internal/serving/process/request_records.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of each request."""
+"""Log lines and metrics of each request."""
 
 import contextlib
 from collections.abc import Iterator
@@ -10,21 +10,21 @@
 from dykemast._internal.serving.requests.refusals import RefusedError
 from dykemast._internal.utils.clock import read_clock
 from dykemast._internal.utils.events import make_logger
-from dykemast._internal.utils.supervision import list_calls
+from dykemast._internal.utils.supervision import format_calls
 
 _log = make_logger('request')
 
 
-#: Outcome of a request that got its whole answer.
+#: Outcome of a request that got its complete response.
 SERVED: Final = 'served'
 
 
-class CutRequest(NamedTuple):
-    """A request that was in progress when the process ended.
+class CancelledRequest(NamedTuple):
+    """A request that a stop of this process cancelled.
 
     :param request_id: id that the caller gave it.
-    :param started: seconds on the steady clock when it came.
-    :param begun: whether its answer had begun.
+    :param started: time of its arrival, in seconds of ``read_clock``.
+    :param begun: whether its response had begun.
     """
 
     request_id: str
@@ -33,11 +33,11 @@
 
 
 def log_admitted(admitted: AdmittedRequest, connection: str) -> None:
-    """Log that a request was let in, and why so.
+    """Log that a request was admitted, and with which route and service.
 
     :param admitted: the request.
-    :param connection: address of the caller's end of its connection; the same
-        for all requests over one connection.
+    :param connection: address and port of the caller; the same for all
+        requests over one connection.
     """
     request = admitted.request
     workspace = admitted.workspace
@@ -54,22 +54,22 @@
     )
 
 
-def log_left(request_id: str, error: ConnectionError) -> None:
-    """Log that a caller left before its request was whole.
+def log_disconnect(request_id: str, error: ConnectionError) -> None:
+    """Log that a caller disconnected before its request was complete.
 
-    :param request_id: id that it gave the request.
-    :param error: what was seen of it.
+    :param request_id: id that the caller gave the request.
+    :param error: the error of its connection.
     """
     _log('caller_left', request=request_id, reason=str(error))
 
 
 @contextlib.contextmanager
-def tell_failure(parts: Parts, scope: Any) -> Iterator[None]:
+def record_failure(parts: Parts, scope: Any) -> Iterator[None]:
     """Log and count a request that an unexpected error ends.
 
     :param parts: parts of the program.
     :param scope: ASGI scope of the request.
-    :raises Exception: the error, as the listener ends the answer.
+    :raises Exception: the error again, since the listener ends the response.
     """
     try:
         yield
@@ -81,27 +81,27 @@
             'failed',
             request=find_request_id(scope),
             reason=f'{type(error).__name__}: {error}',
-            calls=list_calls(error),
+            calls=format_calls(error),
         )
         raise
 
 
-def note_cut(parts: Parts, cut: CutRequest) -> None:
-    """Log and count a request that the end of this process cuts off.
+def record_cancelled(parts: Parts, cancelled: CancelledRequest) -> None:
+    """Log and count a request that the stop of this process cancels.
 
     :param parts: parts of the program.
-    :param cut: the request.
+    :param cancelled: the request.
     """
     parts.metrics.refusals.inc({'code': 'cut_by_stop'})
     _log(
         'cut_by_stop',
-        request=cut.request_id,
-        begun=cut.begun,
-        took_s=round(read_clock() - cut.started, 3),
+        request=cancelled.request_id,
+        begun=cancelled.begun,
+        took_s=round(read_clock() - cancelled.started, 3),
     )
 
 
-def note_end(parts: Parts, admitted: AdmittedRequest, outcome: str) -> None:
+def record_end(parts: Parts, admitted: AdmittedRequest, outcome: str) -> None:
     """Log and count the end of a request that was not refused.
 
     :param parts: parts of the program.
@@ -123,18 +123,18 @@
     )
 
 
-def note_refusal(
+def record_refusal(
     parts: Parts,
     error: RefusedError,
     request_id: str,
     started: float,
 ) -> None:
-    """Log and count a refusal, or an answer that cannot be finished.
+    """Log and count a refusal, or a response that cannot be completed.
 
     :param parts: parts of the program.
     :param error: the refusal.
     :param request_id: id that the caller gave the request.
-    :param started: seconds at which it came.
+    :param started: time of its arrival, in seconds of ``read_clock``.
     """
     parts.metrics.refusals.inc({'code': error.code.name})
     _log(
--- a/src/dykemast/_internal/serving/process/runtime.py
+++ b/src/dykemast/_internal/serving/process/runtime.py
@@ -1,4 +1,4 @@
-"""The running program and its start."""
+"""Start of the router, and the handles of what runs in it."""
 
 import asyncio
 import socket
@@ -13,20 +13,20 @@
 from dykemast._internal.serving.process.assembly import Assembly, assemble
 from dykemast._internal.serving.state.board import ServingBoard
 from dykemast._internal.serving.parts import Parts
-from dykemast._internal.serving.process.loop_ends import tell_end
+from dykemast._internal.serving.process.loop_failures import log_loop_failure
 from dykemast._internal.utils.supervision import BackgroundLoop, start_loops
 
-#: Connections that wait to be accepted.
+#: Connections that the kernel queues until they are accepted.
 BACKLOG: Final = 512
 
 
 class Runtime(NamedTuple):
-    """A router that runs.
+    """A running router.
 
     :param assembly: its parts.
-    :param peer_server: listens for other routers.
-    :param listeners: listen for callers.
-    :param tasks: loops.
+    :param peer_server: server for calls from other routers.
+    :param listeners: listeners for callers.
+    :param tasks: tasks of the background loops.
     """
 
     assembly: Assembly
@@ -62,14 +62,14 @@
         'watch_listeners', partial(watch_listeners, listeners)
     )
     running = (*loops.list_loops(assembly), watch)
-    return start_loops(running, assembly.parts.board.loops, tell_end)
+    return start_loops(running, assembly.parts.board.loops, log_loop_failure)
 
 
 async def _open_listeners(parts: Parts) -> list[Listener]:
     addresses = parts.board.settings.listeners
     side = (addresses.readiness, addresses.entry, addresses.metrics)
     callers = application.make_application(parts)
-    others = entry.make_side_application(parts)
+    others = entry.make_endpoint_application(parts)
     return [
         await open_on_sockets(callers, [_listen(addresses.caller)]),
         await open_on_sockets(others, [_listen(one) for one in side]),
--- a/src/dykemast/_internal/serving/requests/__init__.py
+++ b/src/dykemast/_internal/serving/requests/__init__.py
@@ -1,5 +1,5 @@
-"""A request that was let in, and how its caller is answered.
+"""Admitted requests and the responses to their callers.
 
-In: an ASGI scope and its channels. Out: tickets, answers, refusals with
-their codes and the time after which a caller may come back.
+In: an ASGI scope and its channels. Out: admitted requests, responses, refusals
+with their codes and Retry-After.
 """
--- a/src/dykemast/_internal/serving/requests/admitted_request.py
+++ b/src/dykemast/_internal/serving/requests/admitted_request.py
@@ -1,4 +1,4 @@
-"""A request that was let in."""
+"""A request that passed the admission checks."""
 
 from typing import NamedTuple
 
@@ -12,15 +12,15 @@
 
 
 class AdmittedRequest(NamedTuple):
-    """A request that was let in.
+    """A request that passed the admission checks.
 
     :param request: the request.
     :param route: its route.
     :param service: the service that runs it.
-    :param workspace: who spends; None on a public route.
-    :param started: seconds on the steady clock when it came.
-    :param deadline: seconds on the steady clock by which it has to end.
-    :param version: configuration that decided.
+    :param workspace: the workspace that pays; None on a public route.
+    :param started: time of its arrival, in seconds of ``read_clock``.
+    :param deadline: time by which it has to end, in seconds of ``read_clock``.
+    :param version: version of the configuration that applies.
     """
 
     request: CallerRequest
@@ -32,9 +32,9 @@
     version: int
 
     def list_allowed_regions(self) -> list[frozenset[str]]:
-        """List where the request has to stay; each of them binds.
+        """List the sets of regions that the request is restricted to.
 
-        :returns: sets of regions; none where it may go anywhere.
+        :returns: sets of regions, all of which apply; empty when unrestricted.
         """
         asked = (
             self.route.allowed_regions,
@@ -45,6 +45,6 @@
     def is_repeatable(self) -> bool:
         """Tell whether the request may run more than once.
 
-        :returns: whether it may.
+        :returns: whether its route is safe or its stream is resumable.
         """
         return self.route.kind is RouteKind.safe or self.route.resumable
--- a/src/dykemast/_internal/serving/requests/refusals.py
+++ b/src/dykemast/_internal/serving/requests/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: their codes, and what callers are told."""
+"""Refusals: their codes, and the responses that callers get."""
 
 import enum
 from http import HTTPStatus
@@ -20,8 +20,8 @@
 class RefusalCode(enum.Enum):
     """Why a request is not served.
 
-    Statuses 429 and 503 tell that it has not run and will not; 502 and 504
-    leave that open.
+    Statuses 429 and 503 promise that it has not run and will not; with 502 and
+    504 it may have run.
     """
 
     malformed = _Reason(HTTPStatus.BAD_REQUEST, 'The request is malformed.')
@@ -74,9 +74,9 @@
 class RefusedError(DykemastError):
     """A request is not served.
 
-    :param code: why.
-    :param details: what decided it, for the log.
-    :param retry_after: seconds after which it may come back; None for never.
+    :param code: the reason, which callers see.
+    :param details: further fields for the log.
+    :param retry_after: seconds for the Retry-After header; None for no header.
     """
 
     def __init__(
@@ -85,14 +85,14 @@
         details: dict[str, Any] | None = None,
         retry_after: float | None = None,
     ) -> None:
-        """Keep the reason."""
+        """Make a refusal with the text of its code."""
         super().__init__(code.value.text)
         self.code = code
         self.details = details or {}
         self.retry_after = retry_after
 
     def encode(self) -> tuple[Headers, bytes]:
-        """Make the answer to the caller.
+        """Encode the response to the caller.
 
         :returns: header fields and body.
         """
--- a/src/dykemast/_internal/serving/requests/responder.py
+++ b/src/dykemast/_internal/serving/requests/responder.py
@@ -1,4 +1,4 @@
-"""Answers to callers, over ASGI."""
+"""Responses to callers, over ASGI."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -18,24 +18,24 @@
 
 
 class TruncatedResponseError(DykemastError):
-    """An answer cannot be finished: the listener closes its connection."""
+    """A response cannot be completed: the listener closes its connection."""
 
 
 class Responder:
-    """The answer to one request.
+    """The response to one request.
 
-    :param send: ASGI's.
-    :param is_closing: whether the caller should use this connection no more.
+    :param send: ASGI send callable.
+    :param is_closing: whether the caller should stop using this connection.
     """
 
     def __init__(self, send: Send, is_closing: Callable[[], bool]) -> None:
-        """Send nothing yet."""
+        """Make a responder that has not sent anything."""
         self._send = send
         self._is_closing = is_closing
         self.begun = False
 
     async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer.
+        """Send a complete response.
 
         :param status: HTTP status.
         :param headers: header fields.
@@ -48,10 +48,11 @@
     async def refuse(self, error: RefusedError) -> None:
         """Send a refusal.
 
-        An answer that has begun is cut off instead: it must not look whole.
+        A response that has begun is truncated instead, so that it does not look
+        complete.
 
         :param error: the refusal.
-        :raises TruncatedResponseError: when an answer has begun.
+        :raises TruncatedResponseError: when a response has begun.
         """
         if self.begun:
             raise TruncatedResponseError(str(error)) from error
@@ -59,7 +60,7 @@
         await self.answer(error.code.value.status, headers, body)
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer.
+        """Send the status and headers of a response.
 
         :param status: HTTP status.
         :param headers: header fields.
@@ -79,7 +80,7 @@
         """Send a part of the body.
 
         :param body: the part.
-        :param more: whether there is more to come.
+        :param more: whether more parts follow.
         """
         await self._send(
             {
@@ -93,18 +94,20 @@
 async def read_body(receive: Receive, limit: int) -> bytes:
     """Read the body of a request.
 
-    :param receive: ASGI's.
-    :param limit: bytes that it may have.
+    :param receive: ASGI receive callable.
+    :param limit: maximum size in bytes.
     :returns: the body.
-    :raises RefusedError: when it is longer.
-    :raises ConnectionError: when the caller has left.
+    :raises RefusedError: when it is larger.
+    :raises ConnectionError: when the caller disconnects.
     """
     body = b''
     more = True
     while more:
         message = await receive()
         if message['type'] != 'http.request':
-            raise ConnectionError('the caller left before its body was whole.')
+            raise ConnectionError(
+                f'the caller disconnected after {len(body)} bytes of its body.'
+            )
         body += message.get('body', b'')
         more = message.get('more_body', False)
         if len(body) > limit:
@@ -112,40 +115,40 @@
     return body
 
 
-async def run_until_left(
+async def run_until_disconnect(
     work: Coroutine[Any, Any, None],
     receive: Receive,
 ) -> bool:
-    """Serve a request; give up at once when its caller leaves.
+    """Serve a request, and cancel it as soon as its caller disconnects.
 
-    :param work: serves it.
-    :param receive: ASGI's.
-    :returns: whether it was served to the end.
+    :param work: serves the request.
+    :param receive: ASGI receive callable.
+    :returns: whether it was completed.
     """
     serving = asyncio.create_task(work)
-    leaving = asyncio.create_task(_wait_left(receive))
+    disconnect = asyncio.create_task(_wait_disconnect(receive))
     try:
         await asyncio.wait(
-            (serving, leaving), return_when=asyncio.FIRST_COMPLETED
+            (serving, disconnect), return_when=asyncio.FIRST_COMPLETED
         )
     except asyncio.CancelledError:
-        leaving.cancel()
-        await _give_up(serving)
+        disconnect.cancel()
+        await _cancel(serving)
         raise
-    leaving.cancel()
+    disconnect.cancel()
     if serving.done():
         serving.result()
         return True
-    await _give_up(serving)
+    await _cancel(serving)
     return False
 
 
-async def _give_up(serving: asyncio.Task[None]) -> None:
+async def _cancel(serving: asyncio.Task[None]) -> None:
     serving.cancel()
     await asyncio.wait((serving,))
 
 
-async def _wait_left(receive: Receive) -> None:
+async def _wait_disconnect(receive: Receive) -> None:
     message = await receive()
     while message['type'] != 'http.disconnect':
         message = await receive()
--- a/src/dykemast/_internal/utils/__init__.py
+++ b/src/dykemast/_internal/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers, one subject a module."""
+"""Utilities that depend on no other part of the program."""
--- a/src/dykemast/_internal/utils/clock.py
+++ b/src/dykemast/_internal/utils/clock.py
@@ -1,10 +1,9 @@
-"""The one clock of the program.
+"""The clock of the program, which also counts suspensions of the machine.
 
-Its seconds also count while the machine is suspended, unlike those of the
-steady clock. A router that had slept for 3 s took its configuration for as
-much younger, and refused a route with 404 that had been added meanwhile. All
-times are read here, timers of the event loop included, since two times from
-different clocks tell nothing together.
+The monotonic clock stands still during a suspension: a router suspended for 3 s
+would take its configuration for 3 s younger than it is, and refuse with 404 a
+route that was added meanwhile. All times are read here, those of timers of the
+event loop included, since times from different clocks cannot be compared.
 """
 
 import asyncio
@@ -12,38 +11,37 @@
 from functools import partial
 from typing import Final
 
-#: Whether the platform has a clock that counts the time asleep.
+#: Whether the platform has a clock that counts the time of suspensions.
 COUNTS_SUSPENSION: Final = hasattr(time, 'CLOCK_BOOTTIME')
 _CLOCK: Final = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
 
-#: Read the clock, in seconds from an arbitrary moment.
+#: Read the clock, in seconds since an arbitrary point.
 read_clock: Final = partial(time.clock_gettime, _CLOCK)
 
 
 def read_time_of_day() -> float:
-    """Read the time of day, for people and for other organisations alone.
+    """Read the wall clock, only for texts to people and other organisations.
 
-    It may jump by hours, so that nothing of this program rests on it.
+    It may jump by hours, so the program bases no decision on it.
 
-    :returns: seconds since 1970.
+    :returns: seconds since the epoch.
     """
     return time.time()
 
 
-def read_asleep() -> float:
-    """Read for how long the machine was asleep since an arbitrary moment.
+def read_suspended_time() -> float:
+    """Read how long the machine was suspended since an arbitrary point.
 
-    :returns: seconds by which the clock has gone on while the steady one
-        stood still.
+    :returns: seconds that this clock counts and the monotonic clock does not.
     """
     return read_clock() - time.monotonic()
 
 
 class _ClockLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers go by this clock.
+    """An event loop whose timers use this clock.
 
-    It is woken for each by the steady one; as some timer is due every 0.05 s,
-    whatever was due in a suspension is done that soon after it.
+    Its selector waits by the monotonic clock. As some timer is due every
+    0.05 s, timers that expired in a suspension run that soon after it.
     """
 
     def time(self) -> float:
@@ -52,7 +50,7 @@
 
 
 def open_loop() -> asyncio.AbstractEventLoop:
-    """Open an event loop whose timers go by this clock.
+    """Make an event loop whose timers use this clock.
 
     :returns: the loop.
     """
--- a/src/dykemast/_internal/utils/events.py
+++ b/src/dykemast/_internal/utils/events.py
@@ -15,23 +15,22 @@
     read_time_of_day,
 )
 
-#: Lines that wait to be written at most; some hundred kilobytes.
-MAX_WAITING: Final = 1000
-#: Lines a second that are kept beyond short bursts: about ten times those of
-#: a busy instance.
-MAX_RATE: Final = 400.0
-#: Seconds between two writes.
-_FLUSH_PAUSE: Final = 0.05
+#: Bound on the queue of unwritten lines: some hundred kilobytes.
+MAX_QUEUED_LINES: Final = 1000
+#: Sustained rate beyond which lines are dropped: about ten times that of a busy
+#: instance.
+MAX_LINES_PER_S: Final = 400.0
+_FLUSH_INTERVAL_S: Final = 0.05
 _LINE_END: Final = b'\n'
 
 LogEvent = Callable[..., None]
 
 
 class LineHandler(logbook.Handler):
-    """Keeps lines until they can be written; counts those it drops."""
+    """Queues lines until they can be written, and counts dropped ones."""
 
     def __init__(self, descriptor: int, fields: dict[str, Any]) -> None:
-        """Write to a descriptor, which is made non-blocking.
+        """Make a handler that writes to a descriptor, made non-blocking.
 
         :param descriptor: file descriptor to write to.
         :param fields: fields that each line carries.
@@ -41,12 +40,12 @@
         self._descriptor = descriptor
         self._fields = fields
         self._lines: collections.deque[bytes] = collections.deque()
-        self._allowance = MAX_RATE
+        self._allowance = MAX_LINES_PER_S
         self._allowed_at = read_clock()
         self.dropped = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Keep a line, or drop it when there are too many.
+        """Queue a line, or drop it when there are too many.
 
         :param record: the record.
         """
@@ -61,20 +60,20 @@
             **self._fields,
             **record.extra,
         }
-        # Whose line it is must not depend on what the line is about.
+        # The event's own fields must not hide which process wrote the line.
         line.update(self._fields)
         self._lines.append(_encode_line(line))
 
     async def write_lines(self) -> None:
-        """Write lines as they come, for ever."""
+        """Write queued lines, for ever."""
         while True:
             self.flush()
-            await asyncio.sleep(_FLUSH_PAUSE)
+            await asyncio.sleep(_FLUSH_INTERVAL_S)
 
     def flush(self) -> None:
         """Write as many lines as the descriptor takes now."""
         if self.dropped and self._lines:
-            self._lines.append(self._tell_dropped())
+            self._lines.append(self._encode_dropped())
         pending = b''.join(self._lines)
         self._lines.clear()
         rest = self._write(pending)
@@ -87,21 +86,21 @@
         except BlockingIOError:
             return pending
         except OSError:
-            # Nobody reads any more; there is nowhere to tell it.
+            # The reader is gone, so the loss cannot be reported.
             self.dropped += 1
             return b''
 
-    def _tell_dropped(self) -> bytes:
+    def _encode_dropped(self) -> bytes:
         line = {'part': 'log', 'event': 'lines_dropped', 'count': self.dropped}
         self.dropped = 0
         return _encode_line(line)
 
     def _admit(self) -> bool:
         now = read_clock()
-        earned = (now - self._allowed_at) * MAX_RATE
-        self._allowance = min(MAX_RATE, self._allowance + earned)
+        earned = (now - self._allowed_at) * MAX_LINES_PER_S
+        self._allowance = min(MAX_LINES_PER_S, self._allowance + earned)
         self._allowed_at = now
-        if self._allowance < 1 or len(self._lines) >= MAX_WAITING:
+        if self._allowance < 1 or len(self._lines) >= MAX_QUEUED_LINES:
             return False
         self._allowance -= 1
         return True
@@ -115,7 +114,7 @@
     """Make the function with which a part of the program logs.
 
     :param part: name of the part; stands in each of its lines.
-    :returns: takes the event and fields that explain it.
+    :returns: function that takes the event and its fields.
     """
     logger = logbook.Logger(part)
 
@@ -129,6 +128,6 @@
     """Log to standard output.
 
     :param fields: fields that each line carries.
-    :returns: the handler, to be bound.
+    :returns: the handler, not yet bound.
     """
     return LineHandler(sys.stdout.fileno(), fields)
--- a/src/dykemast/_internal/utils/hop_by_hop_headers.py
+++ b/src/dykemast/_internal/utils/hop_by_hop_headers.py
@@ -1,8 +1,8 @@
-"""Header fields that concern one connection only."""
+"""Hop-by-hop header fields."""
 
 from typing import Final
 
-#: No program passes them on; RFC 9110 and what HTTP clients send besides.
+#: Not forwarded: those of RFC 9110, and others that HTTP clients send.
 HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         'connection',
--- a/src/dykemast/_internal/utils/packing.py
+++ b/src/dykemast/_internal/utils/packing.py
@@ -1,6 +1,6 @@
-"""Compact bodies for what passes between routers.
+"""Compressed encoding of messages between routers.
 
-Links may be narrow, and entries of a list are much alike.
+Links may be narrow, and the entries of a list resemble each other.
 """
 
 import zlib
@@ -12,28 +12,28 @@
 
 Packed = TypeVar('Packed')
 
-#: Two thirds of the time of the usual level, for 8 % more bytes of news.
+#: Takes two thirds of the time of the default level, for 8 % more bytes of
+#: gossip.
 FAST_COMPRESSION: Final = zlib.Z_BEST_SPEED
 
 
 def pack(packed: Any, level: int = zlib.Z_DEFAULT_COMPRESSION) -> bytes:
-    """Write down a value.
+    """Encode a value.
 
-    :param packed: a value of typed data.
-    :param level: of compression; ``FAST_COMPRESSION`` for what is written
-        often.
+    :param packed: a value of a type that msgspec encodes.
+    :param level: compression level; ``FAST_COMPRESSION`` for frequent messages.
     :returns: compressed MessagePack.
     """
     return zlib.compress(msgspec.msgpack.encode(packed), level)
 
 
 def unpack(body: bytes, kind: type[Packed]) -> Packed:
-    """Read what ``pack`` wrote.
+    """Decode a value that ``pack`` encoded.
 
     :param body: the bytes.
     :param kind: type of the value.
     :returns: the value.
-    :raises InvalidDataError: when it is none.
+    :raises InvalidDataError: when the bytes do not decode to that type.
     """
     try:
         return msgspec.msgpack.decode(zlib.decompress(body), type=kind)
--- a/src/dykemast/_internal/utils/rate_limiter.py
+++ b/src/dykemast/_internal/utils/rate_limiter.py
@@ -1,31 +1,31 @@
-"""Bound on how often something is done, with a little burst."""
+"""Rate limiter with a small burst."""
 
 import math
 from typing import Final
 
 from dykemast._internal.utils.clock import read_clock
 
-#: Times that something may be done in a row after a quiet while.
-BURST: Final = 4
+#: Operations that may follow each other at once after an idle period.
+BURST_OPERATIONS: Final = 4
 
 
 class RateLimiter:
-    """Pace of one kind of work.
+    """Rate limiter for one kind of operation.
 
-    :param pause: seconds between two times, in the long run.
+    :param pause: average seconds between two operations.
     """
 
     def __init__(self, pause: float) -> None:
-        """Start rested."""
+        """Make a limiter with its full burst available."""
         self._pause = pause
         self._due = -math.inf
 
     def record_write(self) -> float:
-        """Note that it was done.
+        """Record an operation.
 
-        :returns: seconds to wait before it may be done again.
+        :returns: seconds to wait before the next one.
         """
         now = read_clock()
-        self._due = max(self._due, now - BURST * self._pause)
+        self._due = max(self._due, now - BURST_OPERATIONS * self._pause)
         self._due += self._pause
         return max(0, self._due - now)
--- a/src/dykemast/_internal/utils/supervision.py
+++ b/src/dykemast/_internal/utils/supervision.py
@@ -1,9 +1,9 @@
-"""Keep loops running that work for as long as the program does.
+"""Supervision of background loops.
 
-An unexpected error ended one task, and the router stayed ready and served by
-what it last knew: one entry that could not be read left a fleet without any
-backend server. So no loop ends in silence: its error is told and counted, and
-it runs again after a pause.
+A loop that ends silently leaves a router that is ready but serves outdated
+data: one entry that cannot be decoded could leave a whole fleet without backend
+servers. So each failure is logged and counted, and the loop is restarted after
+a delay.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 from dykemast._internal.operations.loop_health import LoopHealth
 from dykemast._internal.utils.clock import read_clock
 
-#: Innermost calls of a failure that are told.
-SHOWN_CALLS: Final = 4
+#: Innermost calls of a traceback that are logged.
+MAX_LOGGED_CALLS: Final = 4
 
 
 class BackgroundLoop(NamedTuple):
-    """Work that never ends.
+    """A loop that runs as long as the program does.
 
-    :param name: what it does, for logs.
-    :param run: starts it; called again when it ended.
+    :param name: name in logs.
+    :param run: starts the loop; called again whenever it ends.
     """
 
     name: str
@@ -30,12 +30,12 @@
 
 
 class LoopFailure(NamedTuple):
-    """How a loop ended that should not.
+    """The end of a background loop, by an error or by a return.
 
-    :param loop: its name.
+    :param loop: name of the loop.
     :param reason: the error.
-    :param calls: the innermost calls that raised it, with their lines.
-    :param pause: seconds until it runs again.
+    :param calls: innermost calls of its traceback, with line numbers.
+    :param pause: seconds until the loop is restarted.
     """
 
     loop: str
@@ -44,53 +44,54 @@
     pause: float
 
 
-Tell = Callable[[LoopFailure], None]
+LogFailure = Callable[[LoopFailure], None]
 
 
 def start_loops(
     loops: Iterable[BackgroundLoop],
     health: LoopHealth,
-    tell: Tell,
+    log_failure: LogFailure,
 ) -> list[asyncio.Task[None]]:
-    """Start loops, each to run again whenever it ends.
+    """Start background loops, and restart each whenever it ends.
 
     :param loops: the loops.
-    :param health: takes note of their ends.
-    :param tell: logs them.
+    :param health: records their failures.
+    :param log_failure: logs a failure.
     :returns: their tasks.
     """
     return [
-        asyncio.create_task(_supervise(loop, health, tell)) for loop in loops
+        asyncio.create_task(_supervise(loop, health, log_failure))
+        for loop in loops
     ]
 
 
 async def _supervise(
-    loop: BackgroundLoop, health: LoopHealth, tell: Tell
+    loop: BackgroundLoop, health: LoopHealth, log_failure: LogFailure
 ) -> None:
     while True:
         reason, calls = await _run_to_end(loop)
-        pause = health.note_failure(loop.name, read_clock())
-        tell(LoopFailure(loop.name, reason, calls, pause))
+        pause = health.record_failure(loop.name, read_clock())
+        log_failure(LoopFailure(loop.name, reason, calls, pause))
         await asyncio.sleep(pause)
 
 
-def list_calls(error: Exception) -> list[str]:
-    """List the innermost calls of a failure.
+def format_calls(error: Exception) -> list[str]:
+    """List the innermost calls of the traceback of an error.
 
-    :param error: the failure.
-    :returns: names of functions and their lines.
+    :param error: the error.
+    :returns: texts ``function:line``, innermost last.
     """
-    inner = traceback.extract_tb(error.__traceback__)[-SHOWN_CALLS:]
+    inner = traceback.extract_tb(error.__traceback__)[-MAX_LOGGED_CALLS:]
     return [f'{one.name}:{one.lineno}' for one in inner]
 
 
 async def _run_to_end(loop: BackgroundLoop) -> tuple[str, list[str]]:
-    """Run a loop until it fails.
+    """Run a loop until it ends.
 
-    :returns: why it ended, and in which calls.
+    :returns: the reason, and the innermost calls of the traceback.
     """
     try:
         await loop.run()
     except Exception as error:
-        return f'{type(error).__name__}: {error}', list_calls(error)
-    return 'it returned.', []
+        return f'{type(error).__name__}: {error}', format_calls(error)
+    return 'the loop returned.', []
--- a/src/dykemast/_internal/utils/waiting.py
+++ b/src/dykemast/_internal/utils/waiting.py
@@ -1,4 +1,4 @@
-"""Wait until something is true."""
+"""Polling until a condition holds."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,17 +6,16 @@
 
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds between two looks.
-POLL_TIME: Final = 0.05
+POLL_INTERVAL_S: Final = 0.05
 
 
 async def wait_until(is_done: Callable[[float], bool], until: float) -> None:
-    """Look again and again until something is true.
+    """Poll until a condition holds or a deadline passes.
 
-    :param is_done: looks; takes the seconds on the steady clock.
-    :param until: seconds on the steady clock until which to wait at the most.
+    :param is_done: condition; takes the time in seconds of ``read_clock``.
+    :param until: deadline, in seconds of ``read_clock``.
     """
     now = read_clock()
     while now < until and not is_done(now):
-        await asyncio.sleep(POLL_TIME)
+        await asyncio.sleep(POLL_INTERVAL_S)
         now = read_clock()
--- a/src/dykemast/_internal/utils/yaml_files.py
+++ b/src/dykemast/_internal/utils/yaml_files.py
@@ -1,4 +1,4 @@
-"""YAML files checked against a TypedDict, with the line of each finding."""
+"""Validation of YAML files against a TypedDict, with line numbers."""
 
 import difflib
 from pathlib import Path
@@ -9,20 +9,20 @@
 
 from dykemast._internal.exceptions import Finding, InvalidFileError
 from dykemast._internal.utils.yaml_lines import (
-    Lines,
-    find_lines,
-    locate,
-    name_field,
+    LineNumbers,
+    find_line_numbers,
+    find_line,
+    format_path,
 )
 
 _UNKNOWN_KEY: Final = 'extra_forbidden'
 
 
 def read_yaml(path: str, shape: Any) -> Any:
-    """Read a YAML file and check it.
+    """Read a YAML file and validate it.
 
     :param path: the file.
-    :param shape: TypedDict that it must fit.
+    :param shape: TypedDict that it must match.
     :returns: the document, as the TypedDict.
     :raises InvalidFileError: with all findings together.
     """
@@ -34,11 +34,11 @@
 
 
 def check_yaml(path: str, text: str, shape: Any) -> Any:
-    """Check a YAML text.
+    """Validate a YAML text.
 
-    :param path: name to show in findings.
+    :param path: file name to show in findings.
     :param text: the document.
-    :param shape: TypedDict that it must fit.
+    :param shape: TypedDict that it must match.
     :returns: the document, as the TypedDict.
     :raises InvalidFileError: with all findings together.
     """
@@ -49,10 +49,12 @@
         line = mark.line + 1 if mark else 0
         found = Finding(path, line, '', f'not YAML: {error}')
         raise InvalidFileError([found]) from error
-    return _check_document(path, document, find_lines(text), shape)
+    return _check_document(path, document, find_line_numbers(text), shape)
 
 
-def _check_document(path: str, document: Any, lines: Lines, shape: Any) -> Any:
+def _check_document(
+    path: str, document: Any, lines: LineNumbers, shape: Any
+) -> Any:
     try:
         return TypeAdapter(shape).validate_python(document, strict=True)
     except ValidationError as error:
@@ -62,10 +64,12 @@
     )
 
 
-def _make_finding(path: str, lines: Lines, problem: Any, shape: Any) -> Finding:
+def _make_finding(
+    path: str, lines: LineNumbers, problem: Any, shape: Any
+) -> Finding:
     place = problem['loc']
     text = _describe(problem, shape)
-    return Finding(path, locate(lines, place), name_field(place), text)
+    return Finding(path, find_line(lines, place), format_path(place), text)
 
 
 def _describe(problem: Any, shape: Any) -> str:
--- a/src/dykemast/_internal/utils/yaml_lines.py
+++ b/src/dykemast/_internal/utils/yaml_lines.py
@@ -1,27 +1,29 @@
-"""Lines on which the fields of a YAML document stand."""
+"""Line numbers of the fields of a YAML document."""
 
 from typing import Any
 
 import yaml
 
 #: Line of each field, by its path in the document.
-Lines = dict[tuple[str | int, ...], int]
+LineNumbers = dict[tuple[str | int, ...], int]
 
 
-def find_lines(text: str) -> Lines:
-    """Find the line on which each field stands.
+def find_line_numbers(text: str) -> LineNumbers:
+    """Find the line number of each field.
 
     :param text: a YAML document.
-    :returns: lines, counted from 1.
+    :returns: line numbers from 1, by path of the field.
     """
-    lines: Lines = {}
+    lines: LineNumbers = {}
     node = yaml.compose(text, Loader=yaml.SafeLoader)
     if node is not None:
         _walk_node(node, (), lines)
     return lines
 
 
-def _walk_node(node: yaml.Node, path: tuple[Any, ...], lines: Lines) -> None:
+def _walk_node(
+    node: yaml.Node, path: tuple[Any, ...], lines: LineNumbers
+) -> None:
     lines.setdefault(path, node.start_mark.line + 1)
     if isinstance(node, yaml.MappingNode):
         for name, child in node.value:
@@ -32,22 +34,22 @@
             _walk_node(child, (*path, index), lines)
 
 
-def locate(lines: Lines, place: tuple[Any, ...]) -> int:
-    """Find the line of a field, or of the nearest field around it.
+def find_line(lines: LineNumbers, place: tuple[Any, ...]) -> int:
+    """Find the line of a field, or of the closest field that contains it.
 
-    :param lines: as found by :func:`find_lines`.
+    :param lines: line numbers from :func:`find_line_numbers`.
     :param place: path of the field.
-    :returns: its line, 0 when unknown.
+    :returns: its line number, 0 when unknown.
     """
     while place and place not in lines:
         place = place[:-1]
     return lines.get(place, 0)
 
 
-def name_field(place: tuple[Any, ...]) -> str:
-    """Show the path of a field.
+def format_path(place: tuple[Any, ...]) -> str:
+    """Format the path of a field.
 
-    :param place: its parts.
-    :returns: the parts with dots between them.
+    :param place: keys and indexes.
+    :returns: the path, joined by dots.
     """
     return '.'.join(str(part) for part in place)
--- a/src/dykemast/instance.py
+++ b/src/dykemast/instance.py
@@ -1,13 +1,13 @@
-"""Start of the router on the users' platform: ``python -m dykemast.instance``.
+"""Entry point of the router on the users' platform.
 
-The same as ``dykemast instance``, without the parser of the command line,
-whose import takes memory in each process.
+``python -m dykemast.instance`` is the same as ``dykemast instance`` without the
+command line parser, whose import takes memory in each process.
 """
 
 import os
 
-# All this program speaks is plain HTTP, and its HTTP client reads the
-# certificates of the machine when it is imported, at each start of a router.
+# The program uses plain HTTP only, but its HTTP client loads the certificates
+# of the machine when it is imported, at each start of a router.
 os.environ['SSL_CERT_FILE'] = os.devnull
 
 from dykemast._internal.commands.instance import run_instance  # noqa: E402
--- a/tests/unit/test_configuration.py
+++ b/tests/unit/test_configuration.py
@@ -1,4 +1,4 @@
-"""Revisions only ever go forward."""
+"""A router never goes back to an older configuration revision."""
 
 from dykemast._internal.blackboard import Blackboard
 from dykemast._internal.controllers.configuration import (
@@ -18,7 +18,7 @@
 
 
 def make_board() -> Blackboard:
-    """A blackboard with settings as a router has them."""
+    """Make the state of a router with valid settings."""
     layout = plan_layout(routers=1, engines=0)
     settings = make_settings(layout, layout.routers[0])
     return Blackboard(RouterSettings(**settings), 'a')
--- a/tests/unit/test_event_lines.py
+++ b/tests/unit/test_event_lines.py
@@ -18,8 +18,8 @@
 
 
 def test_a_line_about_a_peer_names_the_process_that_wrote_it() -> None:
-    # Lines of a new peer carried the peer's incarnation as their own, so that
-    # a search for one process found lines of all others.
+    # If a field of the event replaced the handler's own, a search for the lines
+    # of one process would find lines of others.
     line = read_line(peer='i1', incarnation='other')
     assert line['incarnation'] == 'own'
     assert line['peer'] == 'i1'
--- a/tests/unit/test_failed_requests.py
+++ b/tests/unit/test_failed_requests.py
@@ -1,6 +1,7 @@
-"""An unexpected error ends a request with 500, and leaves a line.
+"""An unexpected error ends a request with 500 and a log line.
 
-The listener logs nothing of its own, so that such an answer left no trace.
+The listener itself logs nothing, so without that line the response leaves no
+trace.
 """
 
 import asyncio
--- a/tests/unit/test_findings.py
+++ b/tests/unit/test_findings.py
@@ -1,4 +1,4 @@
-"""All findings of a file at once, each with its line and field."""
+"""A configuration file yields all its findings, each with line and field."""
 
 from dykemast._internal.commands.check import check_files
 from dykemast._internal.exceptions import InvalidFileError
@@ -28,7 +28,7 @@
 
 
 def find(text: str) -> list[str]:
-    """Check a configuration; one text a finding."""
+    """Validate a configuration; return the text of each finding."""
     try:
         check_configuration('c.yaml', text)
     except InvalidFileError as error:
@@ -48,12 +48,14 @@
 def test_findings_across_sections_come_together() -> None:
     found = find(UNKNOWN)
     assert len(found) == 4
-    assert found[0] == 'c.yaml:4: models.1.name: the name is taken.'
-    assert 'c.yaml:3: models.0.service: not one of' in found[1]
+    assert found[0] == (
+        'c.yaml:4: models.1.name: duplicate name "tiny-1" in models.'
+    )
+    assert 'c.yaml:3: models.0.service: "llm" is not one of' in found[1]
     assert found[3].startswith('c.yaml:8: policies.0.allow: ')
 
 
-def test_what_is_no_yaml_is_one_finding() -> None:
+def test_invalid_yaml_is_one_finding() -> None:
     assert len(find('a: [1')) == 1
     assert 'not YAML' in find('a: [1')[0]
 
--- a/tests/unit/test_late_reads.py
+++ b/tests/unit/test_late_reads.py
@@ -1,4 +1,4 @@
-"""Reads that are late are made once more, another way."""
+"""A late read is repeated once, another way."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -36,7 +36,7 @@
     assert await read_both(answer('kept'), fail()) == 'kept'
 
 
-async def test_the_other_way_answers_when_the_first_is_silent() -> None:
+async def test_the_second_read_answers_when_the_first_is_silent() -> None:
     assert await read_both(answer('kept', 60), answer('new')) == 'new'
 
 
--- a/tests/unit/test_listener_ends.py
+++ b/tests/unit/test_listener_ends.py
@@ -1,9 +1,7 @@
-"""A router one of whose listeners has ended says that it is not ready.
+"""A router with an ended listener is not ready.
 
-The loops of a router are watched since one that ended left a fleet without
-backend servers. What serves callers was not: with its task gone the router
-stayed ready, and so in entry answers, while nobody could connect (seen by
-ending the task by hand).
+If the task of a listener ends and readiness does not follow, the router stays
+in entry responses while no caller can connect to it.
 """
 
 import asyncio
--- a/tests/unit/test_loop_watch.py
+++ b/tests/unit/test_loop_watch.py
@@ -1,9 +1,9 @@
-"""How late an event loop is."""
+"""Lag of the event loop."""
 
 from dykemast._internal.operations.event_loop_monitor import (
-    MAX_OVERRUN,
+    MAX_OVERRUN_S,
     SMOOTHING,
-    WATCH_PAUSE,
+    RECORD_INTERVAL_S,
     EventLoopMonitor,
 )
 
@@ -16,10 +16,10 @@
 def run_late(
     watch: EventLoopMonitor, began: float, late: float, notes: int
 ) -> float:
-    """Note a loop that is late each time; return when it was last noted."""
+    """Record a loop that is late each time; return the last record's time."""
     now = began
     for _ in range(notes):
-        now += WATCH_PAUSE + late
+        now += RECORD_INTERVAL_S + late
         watch.note(now)
     return now
 
@@ -40,16 +40,16 @@
 
 def test_a_loop_that_stands_still_is_late_before_it_is_noted() -> None:
     watch = EventLoopMonitor(BEGAN)
-    assert watch.measure_lateness(BEGAN + WATCH_PAUSE + 1) > LITTLE
+    assert watch.measure_lateness(BEGAN + RECORD_INTERVAL_S + 1) > LITTLE
     now = run_late(watch, BEGAN, 1, 1)
-    assert watch.is_overloaded(now + WATCH_PAUSE + 1)
+    assert watch.is_overloaded(now + RECORD_INTERVAL_S + 1)
 
 
 def test_one_long_pause_is_forgotten_after_some_notes() -> None:
-    # A process that was paused for long still has all of its processor.
+    # A process that was paused for long is not short of processor time.
     watch = EventLoopMonitor(BEGAN)
     now = run_late(watch, BEGAN, 30, 1)
-    assert watch.measure_lateness(now) <= SMOOTHING * MAX_OVERRUN
+    assert watch.measure_lateness(now) <= SMOOTHING * MAX_OVERRUN_S
     assert not watch.is_overloaded(now)
     now = run_late(watch, now, 0, 4)
     assert watch.measure_lateness(now) < LITTLE
--- a/tests/unit/test_one_clock.py
+++ b/tests/unit/test_one_clock.py
@@ -1,9 +1,8 @@
 """All times of the program are read from one clock.
 
-A machine may be suspended, and its steady clock does not count that time. Two
-times that come from different clocks tell nothing together, so that one module
-reads the clock, and all others ask it. The time of day is for people and for
-other organisations alone: it may jump by hours.
+The monotonic clock does not count the time of a suspension, and times from
+different clocks cannot be compared, so only one module reads the clock. The
+wall clock is only for people and for other organisations: it may jump by hours.
 """
 
 import asyncio
@@ -19,8 +18,8 @@
     r'|clock_gettime'
 )
 TIME_OF_DAY = re.compile(r'time\.time\(|datetime\.now|read_time_of_day')
-#: Who tells the time of day: logs, and what operators and callers give dates
-#: to in the other program.
+#: Modules that may read the wall clock: logs, and dates that operators and
+#: callers see from ``dykemast router``.
 TELL_TIME_OF_DAY = frozenset(
     (
         '_internal/utils/events.py',
@@ -45,7 +44,7 @@
     assert find_users(OTHER_CLOCKS) == {CLOCK}
 
 
-def test_the_time_of_day_is_told_and_decides_nothing_more() -> None:
+def test_the_wall_clock_is_only_for_display() -> None:
     assert find_users(TIME_OF_DAY) == {CLOCK, *TELL_TIME_OF_DAY}
 
 
--- a/tests/unit/test_overload_gate.py
+++ b/tests/unit/test_overload_gate.py
@@ -1,7 +1,7 @@
-"""A router without processor time refuses at once, and says so to others."""
+"""An overloaded router refuses requests at once, and reports its load."""
 
 from dykemast._internal.models.gossip import RouterLoad
-from dykemast._internal.operations.event_loop_monitor import WATCH_PAUSE
+from dykemast._internal.operations.event_loop_monitor import RECORD_INTERVAL_S
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.serving.admission import checks, lookups
 from dykemast._internal.serving.knowledge.configuration import (
@@ -20,14 +20,14 @@
 from tests.lib.serving_boards import make_boards
 from tests.lib.users_objects import make_configuration
 
-#: Seconds by which the loop is late at each note.
+#: Seconds by which the event loop is late at each record.
 LATE = 0.5
 FREE = RouterLoad(10, 1)
 BUSY = RouterLoad(10, 20)
 
 
 def make_board(router_load: RouterLoad, late: float) -> ServingBoard:
-    """Make the blackboard of a router with one peer, and a late loop."""
+    """Make the state of a router with one peer and a late event loop."""
     board, _ = make_boards(2)
     for peer in board.peers.values():
         peer.router_load = router_load
@@ -35,7 +35,7 @@
     for kind in ('config', 'servers'):
         board.last_read_at[kind] = now
     for past in range(10, -1, -1):
-        board.watch.note(now - past * (WATCH_PAUSE + late))
+        board.watch.note(now - past * (RECORD_INTERVAL_S + late))
     return board
 
 
@@ -47,24 +47,24 @@
     return None
 
 
-def test_a_router_in_time_takes_requests() -> None:
+def test_a_router_without_lag_admits_requests() -> None:
     board = make_board(FREE, 0)
     assert refuse(board) is None
     assert not should_close_connections(board)
 
 
-def test_a_router_without_time_sends_callers_elsewhere_at_once() -> None:
+def test_an_overloaded_router_refers_callers_to_others_at_once() -> None:
     board = make_board(FREE, LATE)
     error = refuse(board)
     assert error
     assert error.code == RefusalCode.overloaded
     assert error.code.value.status == 503
-    assert error.retry_after == checks.ELSEWHERE_RETRY
+    assert error.retry_after == checks.OTHER_ROUTER_RETRY_S
     assert should_close_connections(board)
     assert measure_router_load(board).exceeds_capacity()
 
 
-def test_no_request_is_looked_at_without_time_for_it() -> None:
+def test_an_overloaded_router_does_not_process_requests() -> None:
     board = make_board(FREE, LATE)
     apply_configuration(
         board, StoreObject('main', 9, make_configuration()), 'store'
@@ -77,7 +77,7 @@
         raise AssertionError
 
 
-def test_callers_wait_a_little_when_all_routers_get_too_much() -> None:
+def test_callers_wait_a_little_when_all_routers_are_overloaded() -> None:
     error = refuse(make_board(BUSY, LATE))
     assert error
-    assert error.retry_after == checks.CROWDED_RETRY
+    assert error.retry_after == checks.ALL_OVERLOADED_RETRY_S
--- a/tests/unit/test_planned_stop.py
+++ b/tests/unit/test_planned_stop.py
@@ -1,15 +1,15 @@
-"""When a stopping router lets requests in, and when it ends."""
+"""Until when a stopping router admits requests, and when it exits."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
 from dykemast._internal.operations import planned_stop
 from dykemast._internal.operations.event_loop_monitor import (
-    STALL_TIME,
+    STALL_TIME_S,
     EventLoopMonitor,
 )
 from dykemast._internal.operations.route_times import SPAN_S, RouteTimes
-from dykemast._internal.serving.admission.in_progress import STOPPING_RETRY
+from dykemast._internal.serving.admission.in_progress import STOPPING_RETRY_S
 from dykemast._internal.serving.requests.refusals import (
     RefusalCode,
     RefusedError,
@@ -53,7 +53,7 @@
 
 
 @given(times, st.floats(0, 20), st.floats(0, 20))
-def test_its_moments_are_in_order(
+def test_the_times_of_a_plan_are_in_order(
     late: float,
     ttl: float,
     timeout: float,
@@ -61,37 +61,37 @@
     now = BEGAN + late
     plan = planned_stop.plan_stop(now, BEGAN, ttl, timeout)
     assert max(plan.advertised_until, plan.linger_until) <= plan.ends_by
-    assert now <= plan.give_back_at <= max(now, plan.ends_by)
+    assert now <= plan.return_tokens_at <= max(now, plan.ends_by)
     assert plan.ends_by <= plan.cancel_at
-    assert plan.ends_by <= BEGAN + max(0, timeout - planned_stop.END_TIME)
+    assert plan.ends_by <= BEGAN + max(0, timeout - planned_stop.END_TIME_S)
 
 
 def test_the_end_has_time_for_all_that_comes_after_the_cut() -> None:
-    # A stop with a slow store was killed at its last moment, with answers
-    # still to be sent: the time kept for its end was less than its parts.
+    # If the time reserved for the end is less than the sum of its steps, a
+    # router with a slow store is killed with responses still to be sent.
     parts = (
-        planned_stop.POLL_TIME,
-        planned_stop.LAST_GIVE_BACK_TIME,
-        planned_stop.CLOSE_TIME,
-        planned_stop.EXIT_TIME,
+        planned_stop.POLL_INTERVAL_S,
+        planned_stop.LAST_RETURN_TIME_S,
+        planned_stop.CLOSE_TIME_S,
+        planned_stop.EXIT_TIME_S,
     )
     assert make_plan().cancel_at + sum(parts) <= KILLED
 
 
 def test_a_stop_that_is_seen_late_admits_by_when_it_was_ordered() -> None:
-    # A router that was paused when SIGTERM came counted from when it woke,
-    # and let in calls that were in progress when it was killed.
+    # A router that is paused when SIGTERM arrives must not count from its
+    # resumption: requests it admits would be in progress when it is killed.
     watch = EventLoopMonitor(BEGAN)
-    assert watch.find_earliest(BEGAN + 0.1) == BEGAN
+    assert watch.find_earliest_arrival(BEGAN + 0.1) == BEGAN
     woke = BEGAN + 1.5
-    assert watch.find_earliest(woke) == BEGAN
+    assert watch.find_earliest_arrival(woke) == BEGAN
     watch.note(woke)
-    assert watch.find_earliest(woke) == BEGAN
-    watch.note(woke + STALL_TIME / 2)
-    assert watch.find_earliest(woke + 2 * STALL_TIME) > woke
+    assert watch.find_earliest_arrival(woke) == BEGAN
+    watch.note(woke + STALL_TIME_S / 2)
+    assert watch.find_earliest_arrival(woke + 2 * STALL_TIME_S) > woke
     plan = make_plan(late=1.5)
     assert not plan.may_admit(KILLED - 1, KILLED - 0.1, usual=0)
-    # What was let in before may still end.
+    # Requests admitted before may still finish.
     assert plan.cancel_at > KILLED
 
 
@@ -115,7 +115,7 @@
 
 
 def test_a_refusal_of_a_stopping_router_sends_callers_elsewhere() -> None:
-    error = RefusedError(RefusalCode.stopping, retry_after=STOPPING_RETRY)
+    error = RefusedError(RefusalCode.stopping, retry_after=STOPPING_RETRY_S)
     headers, _ = error.encode()
     assert dict(headers)[b'retry-after'] == b'0.05'
     assert error.code.value.status == 503
--- a/tests/unit/test_policies.py
+++ b/tests/unit/test_policies.py
@@ -1,4 +1,4 @@
-"""Policies: what they decide, and that hostile ones are bounded."""
+"""Policies: their decisions, and the bounds on hostile expressions."""
 
 import time
 
@@ -10,7 +10,7 @@
 from dykemast._internal.operations.policies import evaluate_policy
 from dykemast._internal.operations.policy_check import (
     make_sample_view,
-    try_policy,
+    check_policy,
 )
 
 MODEL = ModelSpec(name='tiny-1', service='llm', max_tokens=9)
@@ -24,8 +24,8 @@
 
 
 def find_error(field: str, text: str) -> str:
-    """Find what is wrong with an expression."""
-    found = try_policy({'name': 'p', field: text}, CONFIGURATION)
+    """Return the error of an expression, or an empty text."""
+    found = check_policy({'name': 'p', field: text}, CONFIGURATION)
     return str(found[0]) if found else ''
 
 
@@ -44,7 +44,7 @@
     assert decision.priority == 9
 
 
-def test_silent_policy_allows_what_is_asked() -> None:
+def test_policy_without_expressions_uses_defaults() -> None:
     decision = evaluate_policy({'name': 'p'}, VIEW, 'big')
     assert decision == (True, ('big',), ('main',), 5)
 
@@ -73,6 +73,6 @@
     except PolicyError:
         program = None
     assert program is None or len(program.execute({})) == 900
-    # Processor time, so that a busy machine does not matter; the bound is
-    # a hundred times what it takes.
+    # Processor time does not depend on the load of the machine; the bound is a
+    # hundred times the usual value.
     assert time.process_time() - started < 5
--- a/tests/unit/test_readiness.py
+++ b/tests/unit/test_readiness.py
@@ -1,4 +1,4 @@
-"""When a router that has just started says that it takes requests."""
+"""Readiness of a router that has just started."""
 
 from types import SimpleNamespace
 
--- a/tests/unit/test_serving_stages.py
+++ b/tests/unit/test_serving_stages.py
@@ -1,4 +1,4 @@
-"""Stages of a request use only the stages before them."""
+"""Packages of ``serving`` import only packages of earlier stages."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 SERVING = (
     Path(__file__).parents[2] / 'src' / 'dykemast' / '_internal' / 'serving'
 )
-#: In the order in which they may use each other.
+#: Each may import those before it.
 STAGES = (
     'state',
     'requests',
@@ -24,7 +24,7 @@
 
 
 def find_stage(path: Path) -> str:
-    """Tell the stage of a module."""
+    """Return the stage of a module."""
     return path.relative_to(SERVING).parts[0].removesuffix('.py')
 
 
--- a/tests/unit/test_supervision.py
+++ b/tests/unit/test_supervision.py
@@ -1,15 +1,15 @@
-"""No loop of the program ends silently.
+"""No background loop of the program ends silently.
 
-One unexpected error ended the task that read the list of servers; the router
-stayed ready for good and refused every request by what it last knew.
+If an unexpected error ends the loop that reads the list of servers, the router
+stays ready but refuses every request, by outdated data.
 """
 
 import asyncio
 
 from dykemast._internal.operations.loop_health import (
     MAX_FAILURES,
-    MAX_PAUSE,
-    STEADY_TIME,
+    MAX_RESTART_DELAY_S,
+    STEADY_TIME_S,
     LoopHealth,
 )
 from dykemast._internal.serving.process.assembly import assemble
@@ -46,7 +46,7 @@
     assert health.failures == 2, 'one that returns has ended as well'
     assert [end.reason for end in told] == [
         'AttributeError: an int has no attribute rpartition',
-        'it returned.',
+        'the loop returned.',
     ]
     assert told[0].calls[-1].startswith('fail:')
 
@@ -65,10 +65,10 @@
 
 def test_pauses_grow_and_stay_bounded() -> None:
     health = LoopHealth()
-    pauses = [health.note_failure('read', second) for second in range(20)]
+    pauses = [health.record_failure('read', second) for second in range(20)]
     assert pauses == sorted(pauses)
-    assert pauses[0] < MAX_PAUSE
-    assert pauses[-1] == MAX_PAUSE
+    assert pauses[0] < MAX_RESTART_DELAY_S
+    assert pauses[-1] == MAX_RESTART_DELAY_S
 
 
 def test_a_loop_that_fails_each_time_counts_as_failing_until_it_is_steady() -> (
@@ -77,18 +77,18 @@
     health = LoopHealth()
     for second in range(MAX_FAILURES):
         assert not health.list_failing(second)
-        health.note_failure('read', second)
+        health.record_failure('read', second)
     assert health.list_failing(MAX_FAILURES) == ['read']
-    later = MAX_FAILURES + STEADY_TIME + MAX_PAUSE + 1
+    later = MAX_FAILURES + STEADY_TIME_S + MAX_RESTART_DELAY_S + 1
     assert not health.list_failing(later)
-    health.note_failure('read', later)
+    health.record_failure('read', later)
     assert not health.list_failing(later), 'the count begins anew'
 
 
 def test_failures_of_one_loop_do_not_count_for_another() -> None:
     health = LoopHealth()
     for number in range(2 * MAX_FAILURES):
-        health.note_failure(f'loop-{number}', number)
+        health.record_failure(f'loop-{number}', number)
     assert not health.list_failing(2 * MAX_FAILURES)
 
 
@@ -97,7 +97,7 @@
     board.table = object()
     assert is_ready(board)
     for _ in range(MAX_FAILURES):
-        board.loops.note_failure('keep_fresh:servers', read_clock())
+        board.loops.record_failure('keep_fresh:servers', read_clock())
     assert not is_ready(board)
 
 
--- a/tools/serving_mutations.py
+++ b/tools/serving_mutations.py
@@ -196,7 +196,7 @@
         'stop without giving tokens back',
         'tokens are usable',
         f'{_INTERNAL}/serving/process/planned_stop.py',
-        '_give_back(runtime, plan.cancel_at),',
+        '_return_tokens(runtime, plan.cancel_at),',
         'asyncio.sleep(0),',
         'test_a_stopped_router',
     ),
--- a/tools/soak_mutations.py
+++ b/tools/soak_mutations.py
@@ -21,7 +21,7 @@
         'serve on after the caller has left',
         'nothing goes on for nobody',
         f'{_SERVING}/requests/responder.py',
-        '(serving, leaving), return_when=asyncio.FIRST_COMPLETED',
+        '(serving, disconnect), return_when=asyncio.FIRST_COMPLETED',
         '(serving,)',
         _SOAK,
     ),
