--- a/src/dykemast/_internal/exceptions.py
+++ b/src/dykemast/_internal/exceptions.py
@@ -133,8 +133,8 @@
     """Backpressure of a backend server; nothing was sent to it."""
 
     def __init__(self, reason: str) -> None:
-        """Make an error from the server's state, such as ``it leaves``."""
-        super().__init__(f'held back: {reason}', sent=False, unconnected=True)
+        """Make an error with the reason: leaving, backoff or limit."""
+        super().__init__(f'not sent: {reason}', sent=False, unconnected=True)
 
 
 class AdminError(DykemastError):
--- a/src/dykemast/_internal/operations/planned_stop.py
+++ b/src/dykemast/_internal/operations/planned_stop.py
@@ -35,8 +35,7 @@
 
     :param advertised_until: until when callers may hold a valid entry
         response that names this router.
-    :param linger_until: earliest exit, even when no request is in
-        progress.
+    :param linger_until: earliest exit, even when no request is in progress.
     :param return_tokens_at: latest time to begin to return unused tokens.
     :param ends_by: time by which admitted requests have to end: the process
         may be killed soon after.
--- a/src/dykemast/_internal/serving/admission/checks.py
+++ b/src/dykemast/_internal/serving/admission/checks.py
@@ -107,7 +107,7 @@
 def refuse_for_now(known: Freshness, **details: Any) -> RefusedError:
     """Make a temporary refusal of what newer data might allow.
 
-    :param known: age of the cached data.
+    :param known: freshness of the cached data.
     :param details: further fields for the log.
     :returns: the refusal, with a Retry-After.
     """
@@ -119,8 +119,9 @@
 
 
 def _check_overload(board: ServingBoard) -> None:
-    # An overloaded router that admits requests serves none of them before
-    # their callers leave, and delays streams, gossip and reads of the store.
+    # If admitted, a request would wait with all others until its caller leaves,
+    # and delay streams, gossip messages and reads of the store, while other
+    # routers have capacity.
     now = read_clock()
     if not board.watch.is_overloaded(now):
         return
--- a/src/dykemast/_internal/serving/process/clock_watch.py
+++ b/src/dykemast/_internal/serving/process/clock_watch.py
@@ -57,12 +57,12 @@
     :returns: total seconds of suspension until now.
     """
     suspended_s = read_suspended_time()
-    new_s = suspended_s - before
-    if new_s > MIN_SUSPENSION_S:
+    last_suspension_s = suspended_s - before
+    if last_suspension_s > MIN_SUSPENSION_S:
         ages = compute_ages(board)
         _log(
             'suspended',
-            asleep_s=round(new_s, 3),
+            asleep_s=round(last_suspension_s, 3),
             inflight=board.inflight,
             ages={kind: round(age, 3) for kind, age in ages.items()},
         )
--- a/src/dykemast/_internal/serving/process/description.py
+++ b/src/dykemast/_internal/serving/process/description.py
@@ -15,13 +15,15 @@
     """
     board = parts.board
     now = read_clock()
-    away = board.store_unavailable_since
+    unavailable_since = board.store_unavailable_since
     return {
         'inflight': board.inflight,
         'configuration': board.get_version(),
         'servers': len(board.servers),
         'peers_heard': sum(1 for _ in list_live_peers(board)),
-        'store_away_s': round(now - away, 1) if away else 0,
+        'store_away_s': round(now - unavailable_since, 1)
+        if unavailable_since
+        else 0,
         'halls_emptied': len(board.evacuations.halls),
         'servers_cold': sum(
             is_cold(board, name, now) for name in board.cold_until
@@ -40,11 +42,11 @@
         'loop_late_s': round(board.watch.measure_lateness(now), 3),
         'requests_suspected': len(board.crashes.crash_sequences),
         'requests_quarantined': len(board.crashes.quarantines),
-        **_describe_ages(board),
+        **_collect_ages(board),
     }
 
 
-def _describe_ages(board: ServingBoard) -> dict[str, float]:
+def _collect_ages(board: ServingBoard) -> dict[str, float]:
     """Collect the ages of cached data, in seconds, by kind of object."""
     ages = compute_ages(board)
     return {f'age_s_{kind}': round(age, 3) for kind, age in ages.items()}
--- a/src/dykemast/_internal/serving/process/entry.py
+++ b/src/dykemast/_internal/serving/process/entry.py
@@ -111,7 +111,7 @@
 
 
 def _list_options(board: ServingBoard) -> list[EntryOption]:
-    # If no peer is heard, this router is more likely to be isolated than all
+    # If no peer is live, this router is more likely to be isolated than all
     # others to be gone.
     peers = list(list_live_peers(board)) or list(board.peers.values())
     options = [
--- a/src/dykemast/_internal/serving/process/loops.py
+++ b/src/dykemast/_internal/serving/process/loops.py
@@ -68,10 +68,13 @@
     """
     board = assembly.parts.board
     store = assembly.upkeep.store
-    periodic_read = _list_checked(board)
+    periodic_reads = _list_periodic_reads(board)
     return [
-        *(_make_read_loop(board, store, one) for one in periodic_read),
-        *(_make_watch_loop(board, store, one.updater) for one in periodic_read),
+        *(_make_read_loop(board, store, one) for one in periodic_reads),
+        *(
+            _make_watch_loop(board, store, one.updater)
+            for one in periodic_reads
+        ),
         *list_crash_loops(assembly),
         BackgroundLoop(
             'forget_lapsed', partial(backends.remove_expired, board)
@@ -97,16 +100,16 @@
     ]
 
 
-def _list_checked(board: ServingBoard) -> list[PeriodicRead]:
-    periodic_read = [
+def _list_periodic_reads(board: ServingBoard) -> list[PeriodicRead]:
+    periodic_reads = [
         PeriodicRead(configuration.make_updater(board), CONFIGURATION_AGE_S),
         PeriodicRead(server_entries.make_updater(board), SERVERS_AGE_S),
     ]
     promised = board.settings.bounds.evacuate_time
     if promised is not None:
         halls = evacuations.make_updater(board)
-        periodic_read.append(PeriodicRead(halls, EVACUATIONS_SHARE * promised))
-    return periodic_read
+        periodic_reads.append(PeriodicRead(halls, EVACUATIONS_SHARE * promised))
+    return periodic_reads
 
 
 def _make_read_loop(
--- a/src/dykemast/_internal/utils/rate_limiter.py
+++ b/src/dykemast/_internal/utils/rate_limiter.py
@@ -12,12 +12,12 @@
 class RateLimiter:
     """Rate limiter for one kind of operation.
 
-    :param pause: average seconds between two operations.
+    :param interval_s: average seconds between two operations.
     """
 
-    def __init__(self, pause: float) -> None:
+    def __init__(self, interval_s: float) -> None:
         """Make a limiter with its full burst available."""
-        self._pause = pause
+        self._interval_s = interval_s
         self._due = -math.inf
 
     def record_write(self) -> float:
@@ -26,6 +26,6 @@
         :returns: seconds to wait before the next one.
         """
         now = read_clock()
-        self._due = max(self._due, now - BURST_OPERATIONS * self._pause)
-        self._due += self._pause
+        self._due = max(self._due, now - BURST_OPERATIONS * self._interval_s)
+        self._due += self._interval_s
         return max(0, self._due - now)
--- a/tests/unit/test_failed_requests.py
+++ b/tests/unit/test_failed_requests.py
@@ -22,7 +22,7 @@
 
 
 async def send_nothing(_: Any) -> None:
-    """Take what is sent."""
+    """Accept messages and ignore them."""
 
 
 async def serve_request() -> None:
@@ -33,15 +33,15 @@
         await application(scope, fail_to_receive, send_nothing)
     except KeyError:
         return
-    raise AssertionError('the listener has to end the answer')
+    raise AssertionError('the error did not reach the listener')
 
 
-def test_an_unexpected_error_is_told_with_the_id_of_its_request() -> None:
+def test_an_unexpected_error_is_logged_with_the_id_of_its_request() -> None:
     with logbook.TestHandler() as lines:
         asyncio.run(serve_request())
-        told = [(one.message, one.extra) for one in lines.records]
-    assert [message for message, _ in told] == ['failed']
-    extra = told[0][1]
+        logged = [(one.message, one.extra) for one in lines.records]
+    assert [message for message, _ in logged] == ['failed']
+    extra = logged[0][1]
     assert extra['request'] == REQUEST
     assert extra['reason'].startswith('KeyError')
     assert extra['calls'][-1].startswith('fail_to_receive')
--- a/tests/unit/test_late_reads.py
+++ b/tests/unit/test_late_reads.py
@@ -5,7 +5,7 @@
 
 from dykemast._internal.network.late_reads import read_again_if_late
 
-PATIENCE = 0.05
+DELAY_S = 0.05
 Read = Callable[[], Awaitable[str]]
 
 
@@ -27,7 +27,7 @@
 
 async def read_both(first: Read, second: Read) -> str:
     try:
-        return await read_again_if_late(first, second, PATIENCE)
+        return await read_again_if_late(first, second, DELAY_S)
     except OSError:
         return 'failed'
 
@@ -41,13 +41,13 @@
 
 
 async def test_a_late_answer_counts_when_the_other_way_fails() -> None:
-    late = answer('kept', 3 * PATIENCE)
+    late = answer('kept', 3 * DELAY_S)
     assert await read_both(late, fail()) == 'kept'
 
 
 async def test_it_fails_when_both_fail() -> None:
     assert await read_both(fail(), answer('new')) == 'failed'
-    assert await read_both(fail(2 * PATIENCE), fail()) == 'failed'
+    assert await read_both(fail(2 * DELAY_S), fail()) == 'failed'
 
 
 async def test_nothing_goes_on_after_the_answer() -> None:
--- a/tests/unit/test_listener_ends.py
+++ b/tests/unit/test_listener_ends.py
@@ -17,11 +17,11 @@
 from tools.polling import POLL
 from tools.ports import find_ports
 
-PATIENCE = 5
+TIMEOUT_S = 5
 
 
 async def open_router() -> runtime.Runtime:
-    """Open a router whose store does not answer, with a configuration."""
+    """Start a router with a configuration, whose store does not respond."""
     board = make_board()
     listeners = Listeners(*map(make_endpoint, find_ports(5)))
     board.settings = board.settings._replace(listeners=listeners)
@@ -30,10 +30,10 @@
     return await runtime.open_runtime(board)
 
 
-async def stop_being_ready(opened: runtime.Runtime) -> bool:
+async def becomes_unready(opened: runtime.Runtime) -> bool:
     board = opened.assembly.parts.board
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while is_ready(board):
                 await asyncio.sleep(POLL)
     return not is_ready(board)
@@ -43,12 +43,12 @@
     opened = await open_router()
     assert is_ready(opened.assembly.parts.board)
     opened.listeners[0].serving.cancel()
-    assert await stop_being_ready(opened)
+    assert await becomes_unready(opened)
     await planned_stop.stop_router(opened)
 
 
 async def test_a_router_that_is_left_alone_stays_ready() -> None:
     opened = await open_router()
-    assert not await stop_being_ready(opened)
+    assert not await becomes_unready(opened)
     await planned_stop.stop_router(opened)
     assert not opened.assembly.parts.board.loops.failures
--- a/tests/unit/test_one_clock.py
+++ b/tests/unit/test_one_clock.py
@@ -17,10 +17,10 @@
     r'time\.monotonic|import monotonic|perf_counter|oop\(?\)?\.time\('
     r'|clock_gettime'
 )
-TIME_OF_DAY = re.compile(r'time\.time\(|datetime\.now|read_time_of_day')
+WALL_CLOCK = re.compile(r'time\.time\(|datetime\.now|read_time_of_day')
 #: Modules that may read the wall clock: logs, and dates that operators and
 #: callers see from ``dykemast router``.
-TELL_TIME_OF_DAY = frozenset(
+WALL_CLOCK_MODULES = frozenset(
     (
         '_internal/utils/events.py',
         '_internal/controllers/retention.py',
@@ -45,10 +45,10 @@
 
 
 def test_the_wall_clock_is_only_for_display() -> None:
-    assert find_users(TIME_OF_DAY) == {CLOCK, *TELL_TIME_OF_DAY}
+    assert find_users(WALL_CLOCK) == {CLOCK, *WALL_CLOCK_MODULES}
 
 
-def test_the_clock_counts_the_time_asleep_and_so_do_timers() -> None:
+def test_the_clock_and_timers_count_suspensions() -> None:
     assert clock.COUNTS_SUSPENSION
     loop = clock.open_loop()
     before = clock.read_clock()
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -99,14 +99,14 @@
 
 
 def test_callers_of_an_overloaded_router_are_refused_in_time() -> None:
-    counts = Loop(checked=True).run()
+    callers = Loop(checked=True).run()
     # Without the check 1,043 of 1,080 callers leave and 37 are served, with it
     # 157 and 233; the others are refused at once.
-    assert counts.disconnected <= REQUESTS_PER_S * SECONDS / 5, counts
-    assert counts.served >= REQUESTS_PER_S * SECONDS / 5, counts
+    assert callers.disconnected <= REQUESTS_PER_S * SECONDS / 5, callers
+    assert callers.served >= REQUESTS_PER_S * SECONDS / 5, callers
 
 
 def test_without_the_check_callers_leave_unserved() -> None:
     # The simulation has to show the fault that the check prevents.
-    counts = Loop(checked=False).run()
-    assert counts.disconnected >= REQUESTS_PER_S * SECONDS * 4 / 5, counts
+    callers = Loop(checked=False).run()
+    assert callers.disconnected >= REQUESTS_PER_S * SECONDS * 4 / 5, callers
--- a/tests/unit/test_planned_stop.py
+++ b/tests/unit/test_planned_stop.py
@@ -27,7 +27,7 @@
     return planned_stop.plan_stop(BEGAN + late, BEGAN, TTL, TIMEOUT)
 
 
-def test_holders_of_an_entry_answer_are_served_if_there_is_time() -> None:
+def test_holders_of_an_entry_response_are_served_if_there_is_time() -> None:
     plan = make_plan()
     late = KILLED + 10
     assert plan.may_admit(BEGAN + TTL, late, usual=2)
@@ -45,11 +45,11 @@
 @given(times, times)
 def test_nothing_is_admitted_once_it_is_closed(
     after: float,
-    patience: float,
+    time_left: float,
 ) -> None:
     now = BEGAN + after
     plan = make_plan().close()
-    assert not plan.may_admit(now, now + patience, usual=0)
+    assert not plan.may_admit(now, now + time_left, usual=0)
 
 
 @given(times, st.floats(0, 20), st.floats(0, 20))
@@ -66,7 +66,7 @@
     assert plan.ends_by <= BEGAN + max(0, timeout - planned_stop.END_TIME_S)
 
 
-def test_the_end_has_time_for_all_that_comes_after_the_cut() -> None:
+def test_the_end_has_time_for_all_that_follows_the_cancellation() -> None:
     # If the time reserved for the end is less than the sum of its steps, a
     # router with a slow store is killed with responses still to be sent.
     parts = (
@@ -83,12 +83,14 @@
     # resumption: requests it admits would be in progress when it is killed.
     watch = EventLoopMonitor(BEGAN)
     assert watch.find_earliest_arrival(BEGAN + 0.1) == BEGAN
-    woke = BEGAN + 1.5
-    assert watch.find_earliest_arrival(woke) == BEGAN
-    watch.note(woke)
-    assert watch.find_earliest_arrival(woke) == BEGAN
-    watch.note(woke + STALL_TIME_S / 2)
-    assert watch.find_earliest_arrival(woke + 2 * STALL_TIME_S) > woke
+    resumed_at = BEGAN + 1.5
+    assert watch.find_earliest_arrival(resumed_at) == BEGAN
+    watch.note(resumed_at)
+    assert watch.find_earliest_arrival(resumed_at) == BEGAN
+    watch.note(resumed_at + STALL_TIME_S / 2)
+    assert (
+        watch.find_earliest_arrival(resumed_at + 2 * STALL_TIME_S) > resumed_at
+    )
     plan = make_plan(late=1.5)
     assert not plan.may_admit(KILLED - 1, KILLED - 0.1, usual=0)
     # Requests admitted before may still finish.
@@ -106,7 +108,7 @@
     assert usual.estimate_duration('a', 2 * SPAN_S + 6) == 0
 
 
-def test_requests_in_progress_tell_how_long_others_may_take() -> None:
+def test_requests_in_progress_count_for_the_typical_duration() -> None:
     usual = RouteTimes()
     with usual.track('a', 5):
         assert usual.estimate_duration('a', 12) == 7
--- a/tests/unit/test_readiness.py
+++ b/tests/unit/test_readiness.py
@@ -12,7 +12,7 @@
 from tests.lib.serving_boards import make_board
 
 
-def lets_in(board: ServingBoard) -> bool:
+def admits(board: ServingBoard) -> bool:
     try:
         check_preconditions(board)
     except RefusedError:
@@ -24,8 +24,8 @@
     board = make_board()
     board.table = SimpleNamespace(version=1)
     board.last_read_at[CONFIGURATION_KIND] = read_clock()
-    assert not lets_in(board)
+    assert not admits(board)
     assert not is_ready(board)
     board.last_read_at[SERVER_KIND] = read_clock()
-    assert lets_in(board)
+    assert admits(board)
     assert is_ready(board)
--- a/tests/unit/test_serving_stages.py
+++ b/tests/unit/test_serving_stages.py
@@ -43,10 +43,10 @@
     assert not wrong
 
 
-def test_each_stage_tells_what_goes_in_and_out() -> None:
-    faces = SERVING.glob('*/__init__.py')
+def test_each_stage_documents_its_input_and_output() -> None:
+    packages = SERVING.glob('*/__init__.py')
     assert [
-        face
-        for face in faces
-        if not re.search('In: .*Out: ', face.read_text(), re.S)
+        package
+        for package in packages
+        if not re.search('In: .*Out: ', package.read_text(), re.S)
     ] == []
--- a/tests/unit/test_supervision.py
+++ b/tests/unit/test_supervision.py
@@ -35,20 +35,20 @@
             await asyncio.sleep(60)
 
     async def watch() -> None:
-        tasks = start_loops([BackgroundLoop('read', fail)], health, told.append)
+        tasks = start_loops([BackgroundLoop('read', fail)], health, ends.append)
         await asyncio.wait(tasks, timeout=2)
         tasks[0].cancel()
 
     health = LoopHealth()
-    told: list[LoopFailure] = []
+    ends: list[LoopFailure] = []
     asyncio.run(watch())
     assert runs == [0, 1, 2]
     assert health.failures == 2, 'one that returns has ended as well'
-    assert [end.reason for end in told] == [
+    assert [end.reason for end in ends] == [
         'AttributeError: an int has no attribute rpartition',
         'the loop returned.',
     ]
-    assert told[0].calls[-1].startswith('fail:')
+    assert ends[0].calls[-1].startswith('fail:')
 
 
 def test_a_loop_that_is_cancelled_ends() -> None:
