--- a/tests/unit/test_one_clock.py
+++ b/tests/unit/test_one_clock.py
@@ -1,9 +1,8 @@
 """All times of the program are read from one clock.
 
-A machine may be suspended, and its steady clock does not count that time. Two
-times that come from different clocks tell nothing together, so that one module
-reads the clock, and all others ask it. The time of day is for people and for
-other organisations alone: it may jump by hours.
+The monotonic clock does not count the time of a suspension, and times from
+different clocks cannot be compared, so only one module reads the clock. The
+wall clock is only for people and for other organisations: it may jump by hours.
 """
 
 import asyncio
@@ -18,10 +17,10 @@
     r'time\.monotonic|import monotonic|perf_counter|oop\(?\)?\.time\('
     r'|clock_gettime'
 )
-TIME_OF_DAY = re.compile(r'time\.time\(|datetime\.now|read_time_of_day')
-#: Who tells the time of day: logs, and what operators and callers give dates
-#: to in the other program.
-TELL_TIME_OF_DAY = frozenset(
+WALL_CLOCK = re.compile(r'time\.time\(|datetime\.now|read_time_of_day')
+#: Modules that may read the wall clock: logs, and dates that operators and
+#: callers see from ``dykemast router``.
+WALL_CLOCK_MODULES = frozenset(
     (
         '_internal/utils/events.py',
         '_internal/controllers/retention.py',
@@ -45,11 +44,11 @@
     assert find_users(OTHER_CLOCKS) == {CLOCK}
 
 
-def test_the_time_of_day_is_told_and_decides_nothing_more() -> None:
-    assert find_users(TIME_OF_DAY) == {CLOCK, *TELL_TIME_OF_DAY}
+def test_the_wall_clock_is_only_for_display() -> None:
+    assert find_users(WALL_CLOCK) == {CLOCK, *WALL_CLOCK_MODULES}
 
 
-def test_the_clock_counts_the_time_asleep_and_so_do_timers() -> None:
+def test_the_clock_and_timers_count_suspensions() -> None:
     assert clock.COUNTS_SUSPENSION
     loop = clock.open_loop()
     before = clock.read_clock()
--- a/tests/unit/test_serving_stages.py
+++ b/tests/unit/test_serving_stages.py
@@ -1,4 +1,4 @@
-"""Stages of a request use only the stages before them."""
+"""Packages of ``serving`` import only packages of earlier stages."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 SERVING = (
     Path(__file__).parents[2] / 'src' / 'dykemast' / '_internal' / 'serving'
 )
-#: In the order in which they may use each other.
+#: Each may import those before it.
 STAGES = (
     'state',
     'requests',
@@ -24,7 +24,7 @@
 
 
 def find_stage(path: Path) -> str:
-    """Tell the stage of a module."""
+    """Return the stage of a module."""
     return path.relative_to(SERVING).parts[0].removesuffix('.py')
 
 
@@ -43,10 +43,10 @@
     assert not wrong
 
 
-def test_each_stage_tells_what_goes_in_and_out() -> None:
-    faces = SERVING.glob('*/__init__.py')
+def test_each_stage_documents_its_input_and_output() -> None:
+    packages = SERVING.glob('*/__init__.py')
     assert [
-        face
-        for face in faces
-        if not re.search('In: .*Out: ', face.read_text(), re.S)
+        package
+        for package in packages
+        if not re.search('In: .*Out: ', package.read_text(), re.S)
     ] == []
