--- a/src/dykemast/_internal/serving/knowledge/__init__.py
+++ b/src/dykemast/_internal/serving/knowledge/__init__.py
@@ -1,5 +1,5 @@
 """Local copies of store objects: configuration and backend servers.
 
-Input: listings and watches of the store, or copies that peers send. Output:
-the configuration in force and the usable servers, on the blackboard.
+In: listings and watches of the store, or copies that peers send. Out: the
+configuration in force and the usable servers, on the blackboard.
 """
