--- a/src/dykemast/_internal/models/backend.py
+++ b/src/dykemast/_internal/models/backend.py
@@ -1,4 +1,4 @@
-"""Backend servers of the users' services, as the store lists them."""
+"""Backend servers of the users' services, as listed in the store."""
 
 from typing import NamedTuple
 
@@ -6,19 +6,20 @@
 
 
 class BackendServer(NamedTuple):
-    """One start of one backend server.
-
-    :param name: names this start and no other; all that is known of a server
-        is kept under it.
-    :param server_id: its id, which it may keep when it starts again.
-    :param service: the service it runs.
-    :param endpoint: its address; another service may get it later.
-    :param hall: where it stands.
-    :param slots: requests that it works on at once.
-    :param leaving: whether it will end soon.
-    :param born: Unix milliseconds of its start, where it tells them.
-    :param sequence: count of its heartbeats since its start.
-    :param cold_left_s: seconds for which it was still cold when it told.
+    """One incarnation of one backend server.
+
+    :param name: unique name of the incarnation; routers keep all state of a
+        server under it.
+    :param server_id: its id, which a later incarnation may reuse.
+    :param service: name of its service.
+    :param endpoint: its address, which another server may get later.
+    :param hall: its hall.
+    :param slots: requests that it runs concurrently.
+    :param leaving: whether it will stop soon and takes no new requests.
+    :param born: Unix milliseconds of its start; None if not reported.
+    :param sequence: number of heartbeats since its start.
+    :param cold_left_s: remaining seconds of its cold phase when its entry was
+        written.
     """
 
     name: str
@@ -36,7 +37,7 @@
 class Evacuations(NamedTuple):
     """Halls whose backend servers get no new requests.
 
-    :param revision: of the store, at which this was so; 0 for unknown.
+    :param revision: store revision of this state; 0 for unknown.
     :param halls: the halls.
     """
 
@@ -45,12 +46,12 @@
 
 
 class Backpressure(NamedTuple):
-    """What one answer of a backend server asks for.
+    """Backpressure in one response of a backend server.
 
-    :param limit: requests a second that the server takes from all routers
-        together; None for any number.
-    :param leaving: whether it is about to end and takes no new requests.
-    :param rest: seconds for which it wants nothing from this router.
+    :param limit: requests per second that the server accepts from all routers
+        together; None for no limit.
+    :param leaving: whether it will stop soon and takes no new requests.
+    :param rest: backoff in seconds that it requests from this router.
     """
 
     limit: float | None = None
@@ -59,12 +60,12 @@
 
 
 class ServerLimit(NamedTuple):
-    """What the newest answer of a backend server that is known of said.
+    """Rate limit in the newest known response of a backend server.
 
-    :param server: its id.
-    :param rate: requests a second that it takes from all routers; 0 when it
-        names no limit any more.
-    :param age: seconds since the answer came.
+    :param server: name of its incarnation.
+    :param rate: requests per second that it accepts from all routers; 0 when
+        the limit has ended.
+    :param age: seconds since the response arrived.
     """
 
     server: str
--- a/src/dykemast/_internal/models/forwarding.py
+++ b/src/dykemast/_internal/models/forwarding.py
@@ -1,4 +1,4 @@
-"""What passes between this router and backend servers."""
+"""Header fields exchanged with backend servers."""
 
 from typing import NamedTuple
 
@@ -6,13 +6,13 @@
 
 
 class ForwardingFields(NamedTuple):
-    """What a send to a backend server adds to the caller's fields.
+    """Header fields that a router adds to those of the caller.
 
-    :param server: id of the server that is meant.
-    :param workspace: who spends; empty on a public route.
-    :param time_left_s: time left.
-    :param priority: 0 to 9, 0 first; None to leave it out.
-    :param last_event_id: where a resumed stream goes on; empty for none.
+    :param server: id of the server that should run the request.
+    :param workspace: workspace that pays; empty on a public route.
+    :param time_left_s: time until the deadline.
+    :param priority: from 0, served first, to 9; None to omit it.
+    :param last_event_id: event after which a stream resumes; empty for none.
     """
 
     server: str
@@ -23,18 +23,17 @@
 
 
 class ResponseHead(NamedTuple):
-    """Head of a backend server's answer.
+    """Status and header fields of a response of a backend server.
 
     :param status: HTTP status.
-    :param request_id: the request that it says it answers.
+    :param request_id: id of the request that it states to respond to.
     :param signed: whether the server signed it.
     :param not_executed: whether the server states that it did not run the
         request.
-    :param misdirected: whether another server than the one that was meant
-        answered.
-    :param headers: fields to be passed on.
-    :param delimited: whether a length or chunks show where the body ends.
-    :param backpressure: what the server asks for.
+    :param misdirected: whether another server than the intended one responded.
+    :param headers: fields to forward to the caller.
+    :param delimited: whether a length or chunks mark the end of the body.
+    :param backpressure: limit, leaving and backoff of the server.
     """
 
     status: int
--- a/src/dykemast/_internal/models/long_pauses.py
+++ b/src/dykemast/_internal/models/long_pauses.py
@@ -1,16 +1,16 @@
-"""Long pauses of streams, as routers tell each other."""
+"""Counts of long pauses of streams, as gossiped between routers."""
 
 from typing import NamedTuple
 
 
 class LongPauses(NamedTuple):
-    """Long pauses of streams at an engine that one router has seen lately.
+    """Recent long pauses of streams at an engine, as observed by one router.
 
     :param server: id of the engine.
-    :param broken: those that were longer than their routes allow.
-    :param kept: those that were not.
+    :param too_long: pauses that exceeded the objective of their route.
+    :param in_time: pauses that did not.
     """
 
     server: str
-    broken: int
-    kept: int
+    too_long: int
+    in_time: int
--- a/src/dykemast/_internal/models/services.py
+++ b/src/dykemast/_internal/models/services.py
@@ -1,4 +1,4 @@
-"""Services of a deployment and what bounds requests to them."""
+"""Services of a deployment and limits on requests to them."""
 
 from typing import NamedTuple
 
@@ -6,8 +6,8 @@
 class Engine(NamedTuple):
     """Model engines of a service.
 
-    :param slots: requests that one runs at once.
-    :param cache_tokens: tokens that its key-value cache holds.
+    :param slots: requests that one engine runs concurrently.
+    :param cache_tokens: size of its key-value cache in tokens.
     :param tokens_per_event: tokens in one event of a stream.
     """
 
@@ -20,10 +20,11 @@
     """One service.
 
     :param name: its name.
-    :param max_connections: connections that one server takes from all.
-    :param engine: set where model engines run it.
-    :param cold_rate: requests a second that a cold server bears; 0 where it
-        bears what others do.
+    :param max_connections: connections that one server accepts from all
+        routers.
+    :param engine: model engines of the service; None without engines.
+    :param cold_rate: limit in requests per second for a cold server; 0 for no
+        limit.
     """
 
     name: str
@@ -32,20 +33,20 @@
     cold_rate: float = 0
 
     def get_tokens_per_event(self) -> int:
-        """Tell how many tokens an event of a stream holds.
+        """Get the number of tokens in one event of a stream.
 
-        :returns: tokens; 1 where the configuration says nothing.
+        :returns: tokens; 1 if the service has no engine.
         """
         return self.engine.tokens_per_event if self.engine else 1
 
 
 class RequestLimits(NamedTuple):
-    """What callers may send.
+    """Limits on requests of callers.
 
-    :param header_bytes: of all header fields.
-    :param body_bytes: of a body.
+    :param header_bytes: size of all header fields.
+    :param body_bytes: size of a body.
     :param header_timeout_s: seconds for the header fields to arrive.
-    :param idle_timeout_s: seconds that a connection may rest.
+    :param idle_timeout_s: seconds that a connection may be idle.
     """
 
     header_bytes: int
--- a/src/dykemast/_internal/operations/absent_servers.py
+++ b/src/dykemast/_internal/operations/absent_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers that were found absent, here or by other routers."""
+"""Backend servers that refused connections, here or at other routers."""
 
 from collections.abc import Iterable
 
@@ -6,40 +6,40 @@
 
 
 class AbsentServers:
-    """Servers that were not at their addresses a moment ago.
+    """Servers at whose addresses nothing listened a moment ago.
 
-    Their entries go only after some seconds of silence. A router of a large
-    fleet meets each server seldom, so what one has found helps all.
+    The store removes an entry only after several missed heartbeats. In a
+    large fleet a router seldom connects to one server, so routers share this.
     """
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Start without absent servers."""
         self._until: dict[str, float] = {}
 
     def record(self, server: str, now: float, seconds: float) -> None:
-        """Take note that a server was absent.
+        """Record that a server was absent.
 
         :param server: its id.
-        :param now: seconds.
-        :param seconds: for how long this is believed.
+        :param now: seconds on the monotonic clock.
+        :param seconds: how long the server counts as absent.
         """
         known = self._until.get(server, 0)
         self._until[server] = max(known, now + seconds)
 
     def merge(self, told: Iterable[AbsentServer], now: float) -> None:
-        """Take what a peer tells.
+        """Merge the absent servers that a peer reported.
 
-        :param told: servers, and for how long it believes that.
-        :param now: seconds.
+        :param told: servers, each with the remaining seconds.
+        :param now: seconds on the monotonic clock.
         """
         for one in told:
             self.record(one.server, now, one.seconds)
 
     def export(self, now: float) -> tuple[AbsentServer, ...]:
-        """Tell which servers are believed to be absent.
+        """Export the servers that count as absent, for peers.
 
-        :param now: seconds.
-        :returns: the servers, and for how long still.
+        :param now: seconds on the monotonic clock.
+        :returns: the servers, each with the remaining seconds.
         """
         self._until = {
             server: until
@@ -52,10 +52,10 @@
         )
 
     def is_absent(self, server: str, now: float) -> bool:
-        """Tell whether a server is believed to be absent.
+        """Check whether a server counts as absent.
 
         :param server: its id.
-        :param now: seconds.
+        :param now: seconds on the monotonic clock.
         :returns: whether it is.
         """
         return self._until.get(server, 0) > now
--- a/src/dykemast/_internal/operations/backpressure_state.py
+++ b/src/dykemast/_internal/operations/backpressure_state.py
@@ -1,4 +1,4 @@
-"""What backend servers ask for in their answers, as far as one router knows."""
+"""Backpressure of backend servers, as known by one router."""
 
 import dataclasses
 from collections.abc import Collection
@@ -7,65 +7,66 @@
 from dykemast._internal.models.backend import BackendServer, Backpressure
 from dykemast._internal.operations.server_limits import ServerLimits
 
-#: Seconds for which it is known that a start was leaving whose entry is gone.
-#: Entries come back with the store, and a server may serve on for long.
-KEEP_TIME: Final = 300.0
+#: Time for which a leaving incarnation without an entry is remembered: entries
+#: return when the store does, and a leaving server may run on for long.
+DELISTED_TTL_S: Final = 300.0
 
 
 class DelistedServers:
-    """Starts that said that they leave and are not listed any more.
+    """Incarnations that announced that they leave, and are not listed any more.
 
-    Entries lapse while the store is away, and come back as they were.
+    Entries expire while the store is unavailable, and return unchanged.
     """
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Start without servers."""
         self._known: dict[str, tuple[BackendServer, float]] = {}
 
     def record(self, server: BackendServer, now: float) -> None:
-        """Take note of a start that was leaving.
+        """Record a leaving incarnation.
 
-        :param server: the start.
-        :param now: seconds.
+        :param server: the incarnation.
+        :param now: seconds on the monotonic clock.
         """
         self._known[server.server_id] = (server, now)
 
     def find(self, server_id: str) -> BackendServer | None:
-        """Find the last start under an id that was leaving.
+        """Find the last leaving incarnation of a server.
 
-        :param server_id: the id.
-        :returns: the start; None where none is known.
+        :param server_id: id of the server.
+        :returns: the incarnation; None if there is none.
         """
         known = self._known.get(server_id)
         return known and known[0]
 
     def relist(self, server: BackendServer) -> bool:
-        """Forget about an id that is listed again.
+        """Drop the record of a server that is listed again.
 
-        :param server: the start that is listed under it.
-        :returns: whether it is the one that was leaving.
+        :param server: the incarnation that is listed now.
+        :returns: whether it is the incarnation that was leaving.
         """
         known = self._known.pop(server.server_id, None)
         return known is not None and known[0].name == server.name
 
-    def forget(self, now: float) -> None:
-        """Forget starts that have ended for certain.
+    def expire(self, now: float) -> None:
+        """Drop records older than ``DELISTED_TTL_S``.
 
-        :param now: seconds.
+        :param now: seconds on the monotonic clock.
         """
         for server_id, (_, since) in tuple(self._known.items()):
-            if now - since > KEEP_TIME:
+            if now - since > DELISTED_TTL_S:
                 self._known.pop(server_id)
 
 
 @dataclasses.dataclass
 class BackpressureState:
-    """What servers ask for, by the name of their start.
+    """Backpressure of servers, by name of their incarnation.
 
-    :param last: by the last answer here.
-    :param limits: that they named, here or to other routers.
-    :param backoff_until: end of the backoff that they asked this router for.
-    :param delisted: those that were leaving and are not listed any more.
+    :param last: backpressure of the last response to this router.
+    :param limits: rate limits that servers sent to any router.
+    :param backoff_until: seconds on the monotonic clock at which the backoff
+        that a server requested from this router ends.
+    :param delisted: leaving servers that are not listed any more.
     """
 
     last: dict[str, Backpressure] = dataclasses.field(default_factory=dict)
@@ -75,43 +76,43 @@
         default_factory=DelistedServers
     )
 
-    def is_bound(self, server: str) -> bool:
-        """Tell whether a server may have asked for rest or named a limit.
+    def may_be_restricted(self, server: str) -> bool:
+        """Check whether a server may have a limit or a backoff.
 
-        :param server: name of its start.
-        :returns: whether it did at some time.
+        :param server: name of its incarnation.
+        :returns: False if it has neither; True also for a backoff that is over.
         """
         return (
             server in self.backoff_until or self.limits.find(server) is not None
         )
 
     def record_backoff(self, server: str, until: float) -> None:
-        """Take note that a server asks for rest; the longest counts.
+        """Record the backoff that a server requests; the latest end counts.
 
-        :param server: name of its start.
-        :param until: seconds until which it wants nothing.
+        :param server: name of its incarnation.
+        :param until: seconds on the monotonic clock at which it ends.
         """
         self.backoff_until[server] = max(
             until, self.backoff_until.get(server, until)
         )
 
     def get_backoff(self, server: str, now: float) -> float:
-        """Measure for how long a server wants nothing from this router.
+        """Get the remaining backoff of a server.
 
-        :param server: name of its start.
-        :param now: seconds.
-        :returns: seconds; 0 for no rest.
+        :param server: name of its incarnation.
+        :param now: seconds on the monotonic clock.
+        :returns: seconds; 0 for no backoff.
         """
         return max(0, self.backoff_until.get(server, now) - now)
 
-    def forget(self, servers: Collection[str], now: float) -> None:
-        """Forget what is over, and servers that are gone.
+    def expire(self, servers: Collection[str], now: float) -> None:
+        """Drop backoffs that are over, and servers that are not listed.
 
-        :param servers: names of those that are listed.
-        :param now: seconds.
+        :param servers: names of the listed incarnations.
+        :param now: seconds on the monotonic clock.
         """
         self.limits.keep_only(servers, now)
-        self.delisted.forget(now)
+        self.delisted.expire(now)
         for server, until in tuple(self.backoff_until.items()):
             if until < now:
                 self.backoff_until.pop(server)
--- a/src/dykemast/_internal/operations/circuit_breakers.py
+++ b/src/dykemast/_internal/operations/circuit_breakers.py
@@ -1,28 +1,27 @@
-"""Breaker per backend server, and a budget for retries."""
+"""Circuit breaker per backend server, and a retry budget."""
 
 from typing import Final
 
-#: Failures in a row after which a server is left alone for a while.
-MAX_FAILURES: Final = 3
-#: Seconds for which it is left alone.
-OPEN_TIME: Final = 2.0
-#: Retries that may be made for each request that comes in.
-RETRY_SHARE: Final = 0.1
-#: Retries that may be saved up.
-MAX_SAVED: Final = 20.0
+#: Consecutive failures that open the circuit of a server.
+FAILURES_TO_OPEN: Final = 3
+#: Time for which a circuit stays open.
+OPEN_TIME_S: Final = 2.0
+#: Retries that each incoming request adds to the budget.
+RETRIES_PER_REQUEST: Final = 0.1
+MAX_SAVED_RETRIES: Final = 20.0
 
 
 class CircuitBreakers:
-    """Failures of backend servers as this router saw them."""
+    """Consecutive failures of backend servers, as seen by this router."""
 
     def __init__(self) -> None:
-        """Start with no failure."""
+        """Start with closed circuits and a full retry budget."""
         self._failures: dict[str, int] = {}
         self._open_until: dict[str, float] = {}
-        self._saved = MAX_SAVED
+        self._saved_retries = MAX_SAVED_RETRIES
 
     def record_success(self, name: str) -> None:
-        """Forget a server's failures.
+        """Close the circuit of a server.
 
         :param name: its instance id.
         """
@@ -30,35 +29,37 @@
         self._open_until.pop(name, None)
 
     def record_failure(self, name: str, now: float) -> None:
-        """Count a failure.
+        """Count a failure; too many in a row open the circuit.
 
         :param name: instance id of the server.
-        :param now: seconds.
+        :param now: seconds on the monotonic clock.
         """
         count = self._failures.get(name, 0) + 1
         self._failures[name] = count
-        if count >= MAX_FAILURES:
-            self._open_until[name] = now + OPEN_TIME
+        if count >= FAILURES_TO_OPEN:
+            self._open_until[name] = now + OPEN_TIME_S
 
     def is_open(self, name: str, now: float) -> bool:
-        """Tell whether a server is to be left alone.
+        """Check whether the circuit of a server is open.
 
         :param name: its instance id.
-        :param now: seconds.
+        :param now: seconds on the monotonic clock.
         :returns: whether it is.
         """
         return now < self._open_until.get(name, 0)
 
     def record_request(self) -> None:
-        """Earn a part of a retry."""
-        self._saved = min(MAX_SAVED, self._saved + RETRY_SHARE)
+        """Add the share of one request to the retry budget."""
+        self._saved_retries = min(
+            MAX_SAVED_RETRIES, self._saved_retries + RETRIES_PER_REQUEST
+        )
 
     def consume_retry(self) -> bool:
-        """Use up a retry.
+        """Consume one retry of the budget.
 
         :returns: whether there was one.
         """
-        if self._saved < 1:
+        if self._saved_retries < 1:
             return False
-        self._saved -= 1
+        self._saved_retries -= 1
         return True
--- a/src/dykemast/_internal/operations/engine_pauses.py
+++ b/src/dykemast/_internal/operations/engine_pauses.py
@@ -1,8 +1,9 @@
-"""How often engines break the pauses that streams may have.
+"""How often the gap between two events of a stream exceeds its objective.
 
-A long prompt is read in pieces between the tokens of all requests that run
-beside it, so that their events come apart. How far depends on the engine,
-which does not tell; the streams that pass through the routers show it.
+Engines prefill a long prompt in chunks, between the decoding steps of the
+other requests that run there, which delays the events of their streams. The
+delay depends on the engine, which does not report it; routers observe it in
+the streams that they pass on.
 """
 
 import math
@@ -10,35 +11,34 @@
 
 from dykemast._internal.models.long_pauses import LongPauses
 
-#: Part of the longest pause that a route allows from which on a pause tells
-#: anything: engines pause for a tenth of it without a long prompt, and for
-#: about as long with one.
-TELLING_SHARE: Final = 0.7
-#: Seconds in which what was seen falls to about a third: an engine that was
-#: slow for a while is tried again, and some prompts come in that time.
-MEMORY: Final = 20.0
-#: Telling pauses that are taken to have been short enough before any was seen,
-#: so that one pause alone does not condemn an engine.
-PRIOR: Final = 1.0
+#: Part of a route's objective below which a pause is ignored: pauses last about
+#: a tenth of the objective without a long prompt, and about the whole with one.
+MIN_PAUSE_SHARE: Final = 0.7
+#: Time in which counts decay to about a third. An engine that was slow for a
+#: while is tried again, and several long prompts arrive within it.
+DECAY_TIME_S: Final = 20.0
+#: Pauses in time that each engine starts with, so that a single long pause does
+#: not rule it out.
+PRIOR_IN_TIME: Final = 1.0
 
 
-class _Seen(NamedTuple):
-    broken: float = 0
-    kept: float = 0
-    at: float = 0
+class _Counts(NamedTuple):
+    too_long: float = 0
+    in_time: float = 0
+    counted_at: float = 0
 
-    def decay(self, now: float) -> '_Seen':
-        left = math.exp((self.at - now) / MEMORY)
-        return _Seen(self.broken * left, self.kept * left, now)
+    def decay(self, now: float) -> '_Counts':
+        remaining = math.exp((self.counted_at - now) / DECAY_TIME_S)
+        return _Counts(self.too_long * remaining, self.in_time * remaining, now)
 
 
 class EnginePauses:
-    """Long pauses between events by engine: own ones, and peers' as told."""
+    """Long pauses by engine, as observed by this router and by its peers."""
 
     def __init__(self) -> None:
-        """Have seen nothing."""
-        self._own: dict[str, _Seen] = {}
-        self._told: dict[str, dict[str, _Seen]] = {}
+        """Start without observations."""
+        self._own: dict[str, _Counts] = {}
+        self._by_peer: dict[str, dict[str, _Counts]] = {}
 
     def record(
         self,
@@ -47,69 +47,71 @@
         objective: float,
         now: float,
     ) -> None:
-        """Take note of a pause between two events of one stream.
+        """Record a pause between two events of one stream.
 
-        :param engine: id of the engine that made them.
+        :param engine: id of the engine.
         :param pause: seconds.
-        :param objective: seconds that the route allows; 0 for any.
-        :param now: seconds.
+        :param objective: longest pause in seconds that the route allows; 0
+            for no objective.
+        :param now: seconds on the monotonic clock.
         """
-        if not objective or pause < TELLING_SHARE * objective:
+        if not objective or pause < MIN_PAUSE_SHARE * objective:
             return
-        seen = self._own.get(engine, _Seen()).decay(now)
+        counts = self._own.get(engine, _Counts()).decay(now)
         if pause > objective:
-            self._own[engine] = seen._replace(broken=seen.broken + 1)
+            self._own[engine] = counts._replace(too_long=counts.too_long + 1)
         else:
-            self._own[engine] = seen._replace(kept=seen.kept + 1)
+            self._own[engine] = counts._replace(in_time=counts.in_time + 1)
 
     def merge(
         self,
         peer: str,
-        told: tuple[LongPauses, ...],
+        received: tuple[LongPauses, ...],
         now: float,
     ) -> None:
-        """Take what a peer has seen.
+        """Replace the counts of a peer by those that it sent.
 
-        :param peer: its instance.
-        :param told: long pauses by engine.
-        :param now: seconds.
+        :param peer: its instance name.
+        :param received: long pauses by engine.
+        :param now: seconds on the monotonic clock.
         """
-        self._told[peer] = {
-            one.server: _Seen(one.broken, one.kept, now) for one in told
+        self._by_peer[peer] = {
+            one.server: _Counts(one.too_long, one.in_time, now)
+            for one in received
         }
 
     def export(self, now: float) -> tuple[LongPauses, ...]:
-        """Tell what this router has seen, whatever is left of it.
+        """Export this router's own counts, after decay, for peers.
 
-        :param now: seconds.
+        :param now: seconds on the monotonic clock.
         :returns: long pauses by engine.
         """
-        # Engines that are gone are not kept for ever.
-        told = [
+        # Dropping the counts that decayed to 0 also drops removed engines.
+        exported = [
             one
             for one in _describe_all(self._own, now)
-            if one.broken + one.kept
+            if one.too_long + one.in_time
         ]
-        self._own = {one.server: self._own[one.server] for one in told}
-        return tuple(told)
+        self._own = {one.server: self._own[one.server] for one in exported}
+        return tuple(exported)
 
     def estimate_risk(self, engine: str, now: float) -> float:
-        """Measure how likely a long pause there is too long.
+        """Estimate how likely a long pause at an engine is too long.
 
         :param engine: its id.
-        :param now: seconds.
-        :returns: from 0 to 1; 0 when none was seen.
+        :param now: seconds on the monotonic clock.
+        :returns: probability from 0 to 1; 0 without observations.
         """
-        found = (self._own, *self._told.values())
-        seen = [one[engine].decay(now) for one in found if engine in one]
-        broken = sum(one.broken for one in seen)
-        kept = sum(one.kept for one in seen)
-        return broken / (broken + kept + PRIOR)
+        tables = (self._own, *self._by_peer.values())
+        counts = [one[engine].decay(now) for one in tables if engine in one]
+        too_long = sum(one.too_long for one in counts)
+        in_time = sum(one.in_time for one in counts)
+        return too_long / (too_long + in_time + PRIOR_IN_TIME)
 
 
-def _describe_all(found: dict[str, _Seen], now: float) -> list[LongPauses]:
-    left = {engine: seen.decay(now) for engine, seen in found.items()}
+def _describe_all(tables: dict[str, _Counts], now: float) -> list[LongPauses]:
+    remaining = {engine: counts.decay(now) for engine, counts in tables.items()}
     return [
-        LongPauses(engine, round(seen.broken), round(seen.kept))
-        for engine, seen in left.items()
+        LongPauses(engine, round(counts.too_long), round(counts.in_time))
+        for engine, counts in remaining.items()
     ]
--- a/src/dykemast/_internal/operations/own_loads.py
+++ b/src/dykemast/_internal/operations/own_loads.py
@@ -1,4 +1,4 @@
-"""Requests that one router has at backend servers."""
+"""Requests of this router that run at backend servers."""
 
 import collections
 
@@ -6,32 +6,32 @@
 
 
 class OwnLoads:
-    """Requests of this router that are not answered whole yet."""
+    """Requests of this router whose response is not complete yet."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without requests."""
         self._running: collections.Counter[str] = collections.Counter()
         self._unread: collections.Counter[str] = collections.Counter()
 
     def begin(self, server: str, unread: int) -> None:
-        """Note a request that is being sent.
+        """Count a request that is being sent.
 
         :param server: id of the backend server.
-        :param unread: prompt tokens that it has to read.
+        :param unread: prompt tokens that the server still has to prefill.
         """
         self._running[server] += 1
         self._unread[server] += unread
 
     def end_prefill(self, server: str, unread: int) -> None:
-        """Note that a prompt has been read, or given up.
+        """Record that the prefill of a prompt has ended or was abandoned.
 
         :param server: id of the backend server.
-        :param unread: as it was given to ``begin``.
+        :param unread: the tokens that were passed to ``begin``.
         """
         self._unread[server] -= unread
 
     def end(self, server: str) -> None:
-        """Note that a request has ended; its reading has ended before.
+        """Record that a request has ended, after ``end_prefill``.
 
         :param server: id of the backend server.
         """
@@ -41,7 +41,7 @@
             self._unread.pop(server)
 
     def get_load(self, server: str) -> ServerLoad:
-        """Tell this router's requests at one server.
+        """Get the load that this router puts on one server.
 
         :param server: its id.
         :returns: the load.
@@ -50,8 +50,8 @@
         return ServerLoad(server, running, self._unread.get(server, 0))
 
     def export_all(self) -> tuple[ServerLoad, ...]:
-        """Tell all of this router's requests.
+        """Export the load that this router puts on all servers, for peers.
 
-        :returns: a line for each backend server.
+        :returns: one load for each backend server in use.
         """
         return tuple(self.get_load(server) for server in self._running)
--- a/src/dykemast/_internal/operations/peer_loads.py
+++ b/src/dykemast/_internal/operations/peer_loads.py
@@ -1,36 +1,36 @@
-"""Requests that other routers have at backend servers, as they told."""
+"""Load that other routers put on backend servers, as they reported it."""
 
 import heapq
 from typing import Final, NamedTuple
 
 from dykemast._internal.models.gossip import RelayedLoads, ServerLoad
 
-#: Routers whose requests are passed on in one round of news at most, and
-#: seconds since they told: with six exchanges in 0.2 s, what one tells
-#: reaches most routers of a large fleet in three rounds.
+#: Bounds for the loads that one gossip message relays: number of routers, and
+#: age. With six exchanges in each round of 0.2 s, the load of one router
+#: reaches most routers of a large fleet within three rounds.
 MAX_RELAYED_ROUTERS: Final = 24
-RELAY_AGE: Final = 1.0
-#: Seconds after which what a peer told of its requests is forgotten: ten
-#: rounds of news, and about as long as most requests take.
+MAX_RELAY_AGE_S: Final = 1.0
+#: Age at which the load of a peer is ignored: ten gossip rounds, and about the
+#: duration of most requests.
 MAX_PEER_LOAD_AGE_S: Final = 2.0
-#: Seconds for which sums stand unless more is told: the turns of one choice,
-#: which asks for each server, and little beside the age above.
-SUM_TIME: Final = 0.05
+#: Time for which cached sums are used unless a report arrives: long enough for
+#: one choice, which reads each server, and short beside the age above.
+SUM_TTL_S: Final = 0.05
 
 
-class _Told(NamedTuple):
-    at: float
+class _PeerReport(NamedTuple):
+    received_at: float
     by_server: dict[str, ServerLoad]
 
 
 class PeerLoads:
-    """Requests of other routers, by the last news of each."""
+    """Loads of other routers, by the newest report of each."""
 
     def __init__(self) -> None:
-        """Know nothing yet."""
-        self._told: dict[str, _Told] = {}
+        """Start without reports."""
+        self._received: dict[str, _PeerReport] = {}
         self._sums: dict[str, list[int]] = {}
-        #: Seconds at which these were added up; None when more was told since.
+        #: Time of the sums; None when a report has arrived since.
         self._summed_at: float | None = None
 
     def merge(
@@ -39,16 +39,16 @@
         loads: tuple[ServerLoad, ...],
         now: float,
     ) -> None:
-        """Take what a peer tells.
+        """Store the loads of a peer, unless a newer report is known.
 
-        :param peer: its instance.
+        :param peer: its instance name.
         :param loads: its requests by backend server.
-        :param now: seconds at which it told.
+        :param now: seconds on the monotonic clock at which it reported them.
         """
-        known = self._told.get(peer)
-        if known is None or known.at < now:
+        known = self._received.get(peer)
+        if known is None or known.received_at < now:
             by_server = {load.server: load for load in loads}
-            self._told[peer] = _Told(now, by_server)
+            self._received[peer] = _PeerReport(now, by_server)
             self._summed_at = None
 
     def merge_relayed(
@@ -57,75 +57,74 @@
         own: str,
         now: float,
     ) -> None:
-        """Take what a peer passes on.
+        """Store the loads of third routers that a peer relays.
 
-        :param relayed: what others told it.
-        :param own: instance of this router, which knows its own requests.
-        :param now: seconds.
+        :param relayed: loads that the peer received.
+        :param own: instance name of this router, whose own loads are skipped.
+        :param now: seconds on the monotonic clock.
         """
         for one in relayed:
             if one.instance != own:
                 self.merge(one.instance, one.loads, now - one.age)
 
     def export_recent(self, now: float) -> tuple[RelayedLoads, ...]:
-        """Tell what peers told last.
+        """Export the newest loads of peers, to be relayed.
 
-        :param now: seconds.
-        :returns: the requests of some peers, the newest news first.
+        :param now: seconds on the monotonic clock.
+        :returns: loads of at most ``MAX_RELAYED_ROUTERS`` peers, newest first.
         """
-        limit = now - RELAY_AGE
-        # Only these are written down: all of them would take most of the time
-        # of an exchange in a large fleet.
+        min_received_at = now - MAX_RELAY_AGE_S
+        # Describing all peers would take most of the time of an exchange in a
+        # large fleet.
         newest = heapq.nlargest(
-            MAX_RELAYED_ROUTERS, self._told.items(), key=_read_at
+            MAX_RELAYED_ROUTERS, self._received.items(), key=_get_received_at
         )
         return tuple(
-            _describe(peer, told, now)
-            for peer, told in newest
-            if told.at > limit
+            _describe(peer, report, now)
+            for peer, report in newest
+            if report.received_at > min_received_at
         )
 
     def get_load(self, server: str, now: float) -> ServerLoad:
-        """Add up the peers' requests at one server.
+        """Get the load that all live peers put on one server.
 
         :param server: its id.
-        :param now: seconds.
-        :returns: the load, of peers that were heard of lately.
+        :param now: seconds on the monotonic clock.
+        :returns: sum over reports younger than ``MAX_PEER_LOAD_AGE_S``.
         """
         summed_at = self._summed_at
-        if summed_at is None or not 0 <= now - summed_at < SUM_TIME:
+        if summed_at is None or not 0 <= now - summed_at < SUM_TTL_S:
             self._sums = self._add_up(now - MAX_PEER_LOAD_AGE_S)
             self._summed_at = now
         return ServerLoad(server, *self._sums.get(server, (0, 0)))
 
-    def _add_up(self, limit: float) -> dict[str, list[int]]:
-        """Add up the requests that peers told of since a moment.
+    def _add_up(self, min_received_at: float) -> dict[str, list[int]]:
+        """Add up the loads of reports that arrived after a time.
 
-        :returns: running requests and unread tokens, by server; plain lists,
-            as adding up takes several times as long with the type that
-            tells them.
+        :returns: running requests and tokens to prefill, by server. Lists,
+            since sums of ``ServerLoad`` take several times as long.
         """
         sums: dict[str, list[int]] = {}
-        for peer in self._told.values():
-            if peer.at > limit:
+        for peer in self._received.values():
+            if peer.received_at > min_received_at:
                 _add_all(sums, peer.by_server)
         return sums
 
 
 def _add_all(
     sums: dict[str, list[int]],
-    told: dict[str, ServerLoad],
+    report: dict[str, ServerLoad],
 ) -> None:
-    for server, load in told.items():
+    for server, load in report.items():
         known = sums.setdefault(server, [0, 0])
         known[0] += load.running
         known[1] += load.unread
 
 
-def _describe(peer: str, told: _Told, now: float) -> RelayedLoads:
-    age = round(now - told.at, 3)
-    return RelayedLoads(peer, age, tuple(told.by_server.values()))
+def _describe(peer: str, report: _PeerReport, now: float) -> RelayedLoads:
+    age = round(now - report.received_at, 3)
+    return RelayedLoads(peer, age, tuple(report.by_server.values()))
 
 
-def _read_at(told: tuple[str, _Told]) -> float:
-    return told[1].at
+def _get_received_at(report: tuple[str, _PeerReport]) -> float:
+    return report[1].received_at
--- a/src/dykemast/_internal/operations/prompt_caches.py
+++ b/src/dykemast/_internal/operations/prompt_caches.py
@@ -1,4 +1,4 @@
-"""Which prompts each model engine is thought to keep, or should."""
+"""Estimates of the prompts in the key-value cache of each model engine."""
 
 import collections
 from collections.abc import Collection, Iterable, Sequence
@@ -8,15 +8,15 @@
 from dykemast._internal.models.gossip import SentPrompt
 from dykemast._internal.operations.rendezvous import choose_owner
 
-#: Prompts that are remembered to be told, and seconds for which they are: a
-#: few rounds of news.
-MAX_TOLD: Final = 64
-TOLD_AGE: Final = 0.8
-#: Tokens of an engine's cache until a request of this router tells.
-DEFAULT_CAPACITY: Final = 400_000
+#: Bounds for the recent prompts that gossip messages carry: number, and age of
+#: a few gossip rounds.
+MAX_RECENT_PROMPTS: Final = 64
+MAX_PROMPT_AGE_S: Final = 0.8
+#: Assumed cache size of an engine that has no request of this router yet.
+DEFAULT_CAPACITY_TOKENS: Final = 400_000
 
 
-class _Told(NamedTuple):
+class _RecentPrompt(NamedTuple):
     at: float
     prompt: SentPrompt
 
@@ -24,13 +24,13 @@
 class PromptCache:
     """Estimate of one engine's key-value cache.
 
-    Parts unused the longest give way first, as they do in the engine.
+    Evicts the least recently used parts first, as the engine does.
 
-    :param capacity: tokens that fit.
+    :param capacity: size in tokens.
     """
 
     def __init__(self, capacity: int) -> None:
-        """Start empty."""
+        """Start with an empty cache."""
         self._capacity = capacity
         self._parts: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
@@ -38,9 +38,9 @@
         self._used = 0
 
     def record_prompt(self, prompt: Iterable[PromptPart]) -> None:
-        """Note that the engine has read a prompt.
+        """Record that the engine has prefilled a prompt.
 
-        :param prompt: its parts in order.
+        :param prompt: parts of the prompt in order.
         """
         for part in prompt:
             self._used += part.tokens - self._parts.pop(part.key, 0)
@@ -49,29 +49,29 @@
             self._used -= self._parts.popitem(last=False)[1]
 
     def count_cached(self, prompt: Iterable[PromptPart]) -> int:
-        """Count the tokens that need not be read again.
+        """Count the tokens that need no prefill.
 
-        A part is of use only if all parts before it are kept as well.
+        A cached part counts only if all parts before it are cached as well.
 
         :param prompt: parts in order.
         :returns: tokens.
         """
-        kept = 0
+        cached = 0
         for part in prompt:
             if part.key not in self._parts:
                 break
-            kept += part.tokens
-        return kept
+            cached += part.tokens
+        return cached
 
 
 class PromptCaches:
-    """Estimated caches by engine, from what was sent here and elsewhere."""
+    """Estimated caches by engine, from prompts sent by all routers."""
 
     def __init__(self) -> None:
-        """Know nothing yet."""
+        """Start without caches."""
         self._caches: dict[str, PromptCache] = {}
-        self._told: collections.deque[_Told] = collections.deque(
-            maxlen=MAX_TOLD
+        self._recent: collections.deque[_RecentPrompt] = collections.deque(
+            maxlen=MAX_RECENT_PROMPTS
         )
 
     def record_sent(
@@ -81,38 +81,44 @@
         capacity: int,
         now: float,
     ) -> None:
-        """Note that an engine now keeps a prompt that was sent here.
+        """Record a prompt that this router sent to an engine.
 
         :param server: its id.
         :param prompt: parts of the prompt in order.
-        :param capacity: tokens that its cache holds.
-        :param now: seconds.
+        :param capacity: size of its cache in tokens.
+        :param now: seconds on the monotonic clock.
         """
-        self._open(server, capacity).record_prompt(prompt)
+        self._get_or_create(server, capacity).record_prompt(prompt)
         keys = tuple(part.key for part in prompt)
         tokens = tuple(part.tokens for part in prompt)
-        self._told.append(_Told(now, SentPrompt(server, keys, tokens)))
+        self._recent.append(
+            _RecentPrompt(now, SentPrompt(server, keys, tokens))
+        )
 
     def merge(self, prompts: Iterable[SentPrompt]) -> None:
-        """Take what a peer tells.
+        """Record prompts that a peer sent to engines.
 
-        :param prompts: prompts that it sent.
+        :param prompts: the prompts, as exported by the peer.
         """
         for sent in prompts:
             parts = map(PromptPart, sent.parts, sent.tokens)
-            self._open(sent.server, DEFAULT_CAPACITY).record_prompt(parts)
+            self._get_or_create(
+                sent.server, DEFAULT_CAPACITY_TOKENS
+            ).record_prompt(parts)
 
     def export(self, now: float) -> tuple[SentPrompt, ...]:
-        """Tell the prompts that were sent lately.
+        """Export the prompts that this router sent recently, for peers.
 
-        :param now: seconds.
+        :param now: seconds on the monotonic clock.
         :returns: the prompts.
         """
-        limit = now - TOLD_AGE
-        return tuple(told.prompt for told in self._told if told.at > limit)
+        limit = now - MAX_PROMPT_AGE_S
+        return tuple(
+            recent.prompt for recent in self._recent if recent.at > limit
+        )
 
     def count_cached(self, server: str, prompt: Sequence[PromptPart]) -> int:
-        """Count the tokens of a prompt that an engine is thought to keep.
+        """Count the tokens of a prompt that an engine should have cached.
 
         :param server: its id.
         :param prompt: parts of the prompt in order.
@@ -122,14 +128,14 @@
         return cache.count_cached(prompt) if cache else 0
 
     def keep_only(self, servers: Collection[str]) -> None:
-        """Forget engines that are gone.
+        """Drop the caches of engines that are not listed any more.
 
-        :param servers: ids of those that are there.
+        :param servers: ids of the listed engines.
         """
         for gone in set(self._caches) - set(servers):
             self._caches.pop(gone)
 
-    def _open(self, server: str, capacity: int) -> PromptCache:
+    def _get_or_create(self, server: str, capacity: int) -> PromptCache:
         cache = self._caches.get(server)
         if cache is None:
             cache = PromptCache(capacity)
@@ -141,15 +147,15 @@
     prompt: Sequence[PromptPart],
     servers: Iterable[str],
 ) -> str | None:
-    """Find the engine that should read the shared parts of a prompt.
+    """Choose the engine that should prefill the shared prefix of a prompt.
 
-    All routers find the same one without telling each other, so that a part
-    which several of them meet at once is read by one engine.
+    All routers choose the same engine without communication, so that only one
+    engine prefills a prefix that several of them receive at the same time.
 
-    :param prompt: parts in order; the last is the request's own, or its
-        session's.
-    :param servers: ids of the engines that take requests.
-    :returns: id of an engine; None when no part is shared.
+    :param prompt: parts in order; the last one belongs to the request or its
+        session alone.
+    :param servers: ids of the usable engines.
+    :returns: id of an engine; None when the prompt has no shared part.
     """
     shared = prompt[:-1]
     if not shared:
--- a/src/dykemast/_internal/operations/rendezvous.py
+++ b/src/dykemast/_internal/operations/rendezvous.py
@@ -1,7 +1,7 @@
-"""Spread of duties over routers by rendezvous hashing.
+"""Assignment of keys to owners by rendezvous hashing.
 
-The keeper of a duty is only a hint: what arbitrates is the conditional
-update. Two routers that both believe they keep a shard cost one conflict.
+Ownership is only a hint; conditional updates in the store arbitrate. Two
+routers that both consider themselves the owner of a shard cost one conflict.
 """
 
 import hashlib
@@ -9,36 +9,36 @@
 
 
 def hash_text(text: str) -> int:
-    """Hash a text the same way on every router.
+    """Compute a hash that is the same on every router.
 
     :param text: any text.
-    :returns: a number of 64 bits.
+    :returns: an unsigned integer of 64 bits.
     """
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
     return int.from_bytes(digest)
 
 
-def choose_owner(duty: str, routers: Iterable[str]) -> str | None:
-    """Choose the router that should keep a duty.
+def choose_owner(key: str, candidates: Iterable[str]) -> str | None:
+    """Choose the owner of a key.
 
-    :param duty: name of the duty, e.g. of a shard object.
-    :param routers: names of the routers that are thought to be up.
-    :returns: one of the names, or nothing when there is none.
+    :param key: the key, such as the name of a shard object.
+    :param candidates: names of the live candidates.
+    :returns: name of the owner; None without candidates.
     """
-    ranked = rank_owners(duty, routers)
+    ranked = rank_owners(key, candidates)
     return ranked[0] if ranked else None
 
 
-def rank_owners(duty: str, routers: Iterable[str]) -> list[str]:
-    """Rank the routers that could keep a duty.
+def rank_owners(key: str, candidates: Iterable[str]) -> list[str]:
+    """Rank the candidates for the ownership of a key.
 
-    :param duty: name of the duty.
-    :param routers: names of the routers that are thought to be up.
-    :returns: the names, best first.
+    :param key: the key.
+    :param candidates: names of the live candidates.
+    :returns: the names, the owner first.
     """
     return sorted(
-        routers,
-        key=lambda name: hash_text(f'{duty}|{name}'),
+        candidates,
+        key=lambda name: hash_text(f'{key}|{name}'),
         reverse=True,
     )
 
@@ -47,7 +47,7 @@
     """Choose the shard that a key belongs to.
 
     :param key: any text.
-    :param count: how many shards there are.
-    :returns: number of the shard, from 0.
+    :param count: number of shards.
+    :returns: index of the shard, from 0.
     """
     return hash_text(key) % count
--- a/src/dykemast/_internal/operations/route_times.py
+++ b/src/dykemast/_internal/operations/route_times.py
@@ -1,16 +1,16 @@
-"""How long requests of each route take."""
+"""Longest recent duration of the requests of each route."""
 
 import contextlib
 import itertools
 from collections.abc import Iterator
 from typing import Final, NamedTuple
 
-#: Seconds of one span. The longest of this span and the one before counts, so
-#: that some requests of every route are in it and an old burst is not.
+#: Length of one span. The longest request of the current and the previous span
+#: counts: long enough to see every route, short enough to forget old bursts.
 SPAN_S: Final = 10.0
 
 
-class _Longest(NamedTuple):
+class _Durations(NamedTuple):
     span: int
     now: float
     before: float
@@ -22,20 +22,20 @@
 
 
 class RouteTimes:
-    """The longest of the requests of each route, lately and now."""
+    """Longest recent and running request of each route."""
 
     def __init__(self) -> None:
-        """Know nothing yet."""
-        self._longest: dict[str, _Longest] = {}
+        """Start without requests."""
+        self._longest: dict[str, _Durations] = {}
         self._running: dict[int, _Running] = {}
         self._numbers = itertools.count()
 
     @contextlib.contextmanager
     def track(self, route: str, now: float) -> Iterator[None]:
-        """Take note of a request while it is in progress.
+        """Track a request while it is in progress.
 
         :param route: its route.
-        :param now: seconds on the steady clock at which it began.
+        :param now: seconds on the monotonic clock at which it began.
         """
         number = next(self._numbers)
         self._running[number] = _Running(route, now)
@@ -45,34 +45,34 @@
             self._running.pop(number)
 
     def record(self, route: str, took: float, now: float) -> None:
-        """Take note of a request that was served.
+        """Record the duration of a request that was served.
 
         :param route: its route.
-        :param took: seconds that it took.
-        :param now: seconds on the steady clock.
+        :param took: its duration in seconds.
+        :param now: seconds on the monotonic clock.
         """
-        known = self._find(route, now)
-        self._longest[route] = known._replace(now=max(known.now, took))
+        durations = self._get_current(route, now)
+        self._longest[route] = durations._replace(now=max(durations.now, took))
 
     def estimate_duration(self, route: str, now: float) -> float:
-        """Tell how long a request of a route may well take.
+        """Estimate how long a request of a route may take.
 
         :param route: the route.
-        :param now: seconds on the steady clock.
-        :returns: seconds; 0 when none was served lately, nor is in progress.
+        :param now: seconds on the monotonic clock.
+        :returns: seconds; 0 without recent or running requests.
         """
-        known = self._find(route, now)
+        durations = self._get_current(route, now)
         ages = (
             now - one.began
             for one in self._running.values()
             if one.route == route
         )
-        return max(known.now, known.before, *ages)
+        return max(durations.now, durations.before, *ages)
 
-    def _find(self, route: str, now: float) -> _Longest:
+    def _get_current(self, route: str, now: float) -> _Durations:
         span = int(now / SPAN_S)
-        known = self._longest.get(route, _Longest(span, 0, 0))
-        if known.span == span:
-            return known
-        before = known.now if known.span == span - 1 else 0
-        return _Longest(span, 0, before)
+        durations = self._longest.get(route, _Durations(span, 0, 0))
+        if durations.span == span:
+            return durations
+        before = durations.now if durations.span == span - 1 else 0
+        return _Durations(span, 0, before)
--- a/src/dykemast/_internal/operations/server_choice.py
+++ b/src/dykemast/_internal/operations/server_choice.py
@@ -1,70 +1,71 @@
-"""Which backend server gets a request."""
+"""Cost functions for the choice of a backend server."""
 
 from collections.abc import Callable, Iterable
 from typing import Final, NamedTuple, TypeVar
 
-#: Prompt tokens that a running stream slows a new one by: a step takes some
-#: 2 % longer with each, over the some hundred tokens of an answer.
-TOKENS_PER_RUNNING: Final = 250
-#: Prompt tokens that an engine reads at a step, which makes one token of each
-#: stream beside it. An event of three tokens bears two such steps; a longer
-#: prompt holds up all three.
-PIECE_TOKENS: Final = 2048
-#: Tokens that a long prompt may wait for rather than make one stream late: one
-#: that waits for six times as many is late itself, and loses six times as much.
-TOKENS_PER_HARM: Final = 4400
-#: Times that a shared part counts in addition when it has to be read: what
-#: one engine keeps, another should not read again.
-SHARED_FACTOR: Final = 3
-#: Load by which a server of another hall must be lighter.
-FAR_SLOTS: Final = 0.1
-#: Trust that is taken for a server that always fails.
-MIN_TRUST: Final = 0.05
-#: Times the load of an engine whose slots are all taken.
-FULL_FACTOR: Final = 4
+#: Cost of a running stream, in prompt tokens: each makes a decoding step about
+#: 2 % longer, over the few hundred tokens of a response.
+TOKENS_PER_RUNNING_STREAM: Final = 250
+#: Prompt tokens that an engine prefills in one step, which also decodes one
+#: token of each running stream. An event of three tokens stays in time with two
+#: such steps; a longer prompt delays all three.
+PREFILL_CHUNK_TOKENS: Final = 2048
+#: Prompt tokens that a long prompt waits for rather than delay one stream
+#: beyond its objective. A prompt that waits for six times as many misses its
+#: own objective, which costs six times as much.
+TOKENS_PER_LATE_STREAM: Final = 4400
+#: Additional weight of shared tokens without a cache entry: what one engine has
+#: cached, another one should not prefill again.
+SHARED_PREFIX_FACTOR: Final = 3
+#: Additional load, in slots per slot, of a server in another hall.
+REMOTE_HALL_LOAD: Final = 0.1
+#: Lower bound of the health score, for servers that always fail.
+MIN_HEALTH: Final = 0.05
+#: Factor on the cost of an engine without a free slot.
+FULL_COST_FACTOR: Final = 4
 
 
 class EngineOption(NamedTuple):
-    """A model engine that could run a request.
+    """A model engine that can run a request.
 
     :param server: its id.
     :param running: requests that run there.
-    :param slots: requests that it runs at once.
-    :param unread: prompt tokens that it has to read before.
-    :param missing: tokens of this prompt that it has to read.
-    :param missing_shared: those of them that other prompts have as well.
-    :param tokens_per_event: tokens that an event of its streams holds.
-    :param pause_risk: how likely the pause of a stream beside a long prompt is
-        too long there, from 0 to 1.
-    :param trust: from 0, failing, to 1.
+    :param slots: requests that it runs concurrently.
+    :param unread: prompt tokens of other requests that it still has to prefill.
+    :param uncached: tokens of this prompt that are not in its cache.
+    :param uncached_shared: those of them in parts that other prompts share.
+    :param tokens_per_event: tokens in one event of its streams.
+    :param pause_risk: probability from 0 to 1 that the prefill of a long prompt
+        makes the pause of a stream too long there.
+    :param health: health score, from 0 (failing) to 1.
     """
 
     server: str
     running: int
     slots: int
     unread: int
-    missing: int
-    missing_shared: int
+    uncached: int
+    uncached_shared: int
     tokens_per_event: int
     pause_risk: float
-    trust: float
+    health: float
 
 
 class ServiceOption(NamedTuple):
-    """A plain server that could run a request.
+    """A backend server without a model engine that can run a request.
 
     :param server: its id.
     :param running: requests that run there.
-    :param slots: requests that it works on at once.
-    :param near: whether it stands in the same hall.
-    :param trust: from 0, failing, to 1.
+    :param slots: requests that it runs concurrently.
+    :param same_hall: whether it is in the hall of this router.
+    :param health: health score, from 0 (failing) to 1.
     """
 
     server: str
     running: int
     slots: int
-    near: bool
-    trust: float
+    same_hall: bool
+    health: float
 
 
 Option = TypeVar('Option', EngineOption, ServiceOption)
@@ -72,69 +73,69 @@
 
 def choose_cheapest(
     options: Iterable[Option],
-    measure_cost: Callable[[Option], float],
-    chance: Callable[[], float],
+    compute_cost: Callable[[Option], float],
+    draw: Callable[[], float],
 ) -> str | None:
-    """Choose the server at which a request costs least.
+    """Choose the server with the lowest cost.
 
     :param options: servers of one kind.
-    :param measure_cost: measures what the request costs there.
-    :param chance: draws from 0 to 1; settles draws.
-    :returns: id of a server, or nothing when there is none.
+    :param compute_cost: computes the cost of the request at a server.
+    :param draw: random number from 0 to 1, to break ties.
+    :returns: id of a server; None without options.
     """
     best = min(
         options,
-        key=lambda one: (measure_cost(one), chance()),
+        key=lambda one: (compute_cost(one), draw()),
         default=None,
     )
     return best.server if best else None
 
 
-def cost_engine(option: EngineOption) -> float:
-    """Measure how long a request would wait, and keep others waiting.
+def compute_engine_cost(option: EngineOption) -> float:
+    """Compute the delay of a request at an engine, and of others by it.
 
     :param option: an engine.
-    :returns: tokens, weighed by trust.
+    :returns: prompt tokens, divided by the health score.
     """
-    tokens = option.unread + option.missing
-    tokens += SHARED_FACTOR * option.missing_shared
-    tokens += TOKENS_PER_RUNNING * option.running
-    tokens += TOKENS_PER_HARM * _count_late(option)
+    tokens = option.unread + option.uncached
+    tokens += SHARED_PREFIX_FACTOR * option.uncached_shared
+    tokens += TOKENS_PER_RUNNING_STREAM * option.running
+    tokens += TOKENS_PER_LATE_STREAM * _estimate_late_streams(option)
     if option.running >= option.slots:
-        # It would wait for a slot, whatever it keeps.
-        tokens *= FULL_FACTOR
-    return tokens / max(MIN_TRUST, option.trust)
+        # The request waits for a slot, whatever is cached.
+        tokens *= FULL_COST_FACTOR
+    return tokens / max(MIN_HEALTH, option.health)
 
 
-def _count_late(option: EngineOption) -> float:
-    """Count the streams that the reading of a prompt would make late."""
-    before = count_harmful(option.unread, option.tokens_per_event)
-    whole = option.unread + option.missing
-    after = count_harmful(whole, option.tokens_per_event)
-    held_up = min(1, (after - before) / PIECE_TOKENS)
-    return held_up * option.pause_risk * option.running
+def _estimate_late_streams(option: EngineOption) -> float:
+    """Estimate how many streams the prefill delays beyond their objective."""
+    before = count_delaying_tokens(option.unread, option.tokens_per_event)
+    whole = option.unread + option.uncached
+    after = count_delaying_tokens(whole, option.tokens_per_event)
+    delayed = min(1, (after - before) / PREFILL_CHUNK_TOKENS)
+    return delayed * option.pause_risk * option.running
 
 
-def count_harmful(unread: int, tokens_per_event: int) -> int:
-    """Count the tokens to read beyond those that delay no event too long.
+def count_delaying_tokens(unread: int, tokens_per_event: int) -> int:
+    """Count the tokens to prefill beyond those that delay no event too long.
 
-    Where there are none, nobody has to know how likely a long pause is, which
-    is added up over what all routers have seen.
+    Without such tokens callers skip the pause risk, which is a sum over the
+    observations of all routers.
 
-    :param unread: prompt tokens that an engine has to read.
-    :param tokens_per_event: tokens that an event of its streams holds.
+    :param unread: prompt tokens that an engine has to prefill.
+    :param tokens_per_event: tokens in one event of its streams.
     :returns: tokens.
     """
-    return max(0, unread - PIECE_TOKENS * (tokens_per_event - 1))
+    return max(0, unread - PREFILL_CHUNK_TOKENS * (tokens_per_event - 1))
 
 
-def cost_plain(option: ServiceOption) -> float:
-    """Measure how busy a plain server is.
+def compute_plain_cost(option: ServiceOption) -> float:
+    """Compute the load of a server without a model engine.
 
     :param option: a server.
-    :returns: part of its slots, weighed by trust.
+    :returns: used part of its slots, divided by the health score.
     """
     load = option.running / max(1, option.slots)
-    if not option.near:
-        load += FAR_SLOTS
-    return (load + FAR_SLOTS) / max(MIN_TRUST, option.trust)
+    if not option.same_hall:
+        load += REMOTE_HALL_LOAD
+    return (load + REMOTE_HALL_LOAD) / max(MIN_HEALTH, option.health)
--- a/src/dykemast/_internal/operations/server_incarnations.py
+++ b/src/dykemast/_internal/operations/server_incarnations.py
@@ -1,13 +1,12 @@
-"""Tell the starts of a backend server apart.
+"""Names for the incarnations of a backend server.
 
-A server that crashed may start again under the id that it had, and then holds
-and knows nothing of before. All that routers know of a server is kept under
-the name of one start, and what they tell each other carries that name: word
-of an earlier start changes nothing for the next one.
+A server that crashed may restart under the same id, with empty state. Routers
+keep all state of a server, and exchange it, under the name of one incarnation,
+so that state of an earlier incarnation never applies to the next one.
 
-Which start is the newest is decided by the order in which the store took its
-entries, never by ``born``: a clock that steps back at the server would make
-the later start the older one.
+The order of entries in the store decides which incarnation is the newest, and
+``born`` does not: if the clock of the server steps back, a later incarnation
+has an earlier ``born``.
 """
 
 from dykemast._internal.models.backend import BackendServer
@@ -16,26 +15,26 @@
 def name_incarnation(
     server: BackendServer,
     revision: int,
-    before: BackendServer | None,
+    previous: BackendServer | None,
 ) -> str:
-    """Name the start of a server that is listed.
+    """Compute the name of the incarnation that an entry lists.
 
-    :param server: the server, as its entry says.
-    :param revision: of the store, at which the entry was written.
-    :param before: the start that was listed under its id.
-    :returns: the name; that of ``before`` if it is the same start.
+    :param server: the server, as decoded from its entry.
+    :param revision: store revision at which the entry was written.
+    :param previous: the incarnation that was listed under its id before.
+    :returns: the name; that of ``previous`` for the same incarnation.
     """
     if server.born is not None:
         return f'{server.server_id}/{server.born}'
-    if before is None:
+    if previous is None:
         return server.server_id
-    if _falls_back(server.sequence, before.sequence):
+    if _has_restarted(server.sequence, previous.sequence):
         return f'{server.server_id}/r{revision}'
-    return before.name
+    return previous.name
 
 
-def _falls_back(sequence: int | None, before: int | None) -> bool:
-    """Tell whether a count shows that it began anew."""
-    if sequence is None or before is None:
+def _has_restarted(sequence: int | None, previous: int | None) -> bool:
+    """Check whether a heartbeat count was reset by a restart."""
+    if sequence is None or previous is None:
         return False
-    return sequence < before
+    return sequence < previous
--- a/src/dykemast/_internal/operations/server_limits.py
+++ b/src/dykemast/_internal/operations/server_limits.py
@@ -1,8 +1,8 @@
-"""Limits that servers name in their answers, here or to other routers.
+"""Rate limits that servers send in their responses, to any router.
 
-A limit is over when an answer says nothing of it any more. Only who sends to
-the server gets one, so that the end is told to others like the limit itself;
-the newest answer counts, whoever got it.
+A limit ends with a response that does not repeat it. Only routers that send to
+the server receive one, so the end of a limit is gossiped like the limit itself.
+The newest response counts, whichever router received it.
 """
 
 from collections.abc import Collection, Iterable
@@ -10,21 +10,22 @@
 
 from dykemast._internal.models.backend import ServerLimit
 
-#: Rate of a server that names no limit any more.
+#: Rate that stands for the end of a limit.
 NO_LIMIT: Final = 0
-#: Seconds for which the end of a limit is told: many rounds of news.
-END_TIME: Final = 10.0
-#: Seconds for which the limit of a server is kept that is not listed: entries
-#: lapse while the store is away, and come back.
-KEEP_TIME: Final = 60.0
+#: Time for which the end of a limit is gossiped: many rounds.
+END_REPORT_TIME_S: Final = 10.0
+#: Time for which the limit of an unlisted server is kept: entries expire while
+#: the store is unavailable, and return.
+UNLISTED_TTL_S: Final = 60.0
 
 
 class KnownLimit(NamedTuple):
-    """What the newest answer of a server that is known of said.
+    """Limit in the newest known response of a server.
 
-    :param rate: requests a second; ``NO_LIMIT`` for any number.
-    :param answered_at: seconds at which the answer came.
-    :param since: seconds since when this router knows of a limit.
+    :param rate: requests per second; ``NO_LIMIT`` for no limit.
+    :param answered_at: seconds on the monotonic clock of the response.
+    :param since: seconds on the monotonic clock since which this router knows
+        of a limit without interruption.
     """
 
     rate: float
@@ -33,72 +34,75 @@
 
 
 class ServerLimits:
-    """Limits by server, as one router knows them."""
+    """Rate limits by server incarnation."""
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Start without limits."""
         self._known: dict[str, KnownLimit] = {}
 
     def record(self, server: str, rate: float, now: float) -> None:
-        """Take note of an answer.
+        """Record the limit, or its absence, in a response.
 
-        :param server: name of the server's start.
-        :param rate: requests a second that it named; ``NO_LIMIT`` for none.
-        :param now: seconds.
+        :param server: name of the server incarnation.
+        :param rate: requests per second; ``NO_LIMIT`` if it has no limit.
+        :param now: seconds on the monotonic clock.
         """
         if rate or server in self._known:
-            self._learn(server, rate, now, now)
+            self._store(server, rate, now, now)
 
-    def merge(self, told: Iterable[ServerLimit], now: float) -> None:
-        """Take what a peer tells.
+    def merge(self, received: Iterable[ServerLimit], now: float) -> None:
+        """Merge the limits of a peer.
 
-        :param told: limits that it knows.
-        :param now: seconds.
+        :param received: limits that the peer exported.
+        :param now: seconds on the monotonic clock.
         """
-        for one in told:
+        for one in received:
             known = self._known.get(one.server)
             answered_at = now - one.age
             if known is None or known.answered_at < answered_at:
-                self._learn(one.server, one.rate, answered_at, now)
+                self._store(one.server, one.rate, answered_at, now)
 
     def export(self, now: float) -> tuple[ServerLimit, ...]:
-        """Tell the limits that are in force, and those that ended lately.
+        """Export active and recently ended limits, for peers.
 
-        :param now: seconds.
+        :param now: seconds on the monotonic clock.
         :returns: the limits.
         """
         return tuple(
             ServerLimit(server, known.rate, round(now - known.answered_at, 3))
             for server, known in self._known.items()
-            if known.rate or now - known.answered_at < END_TIME
+            if known.rate or now - known.answered_at < END_REPORT_TIME_S
         )
 
     def find(self, server: str) -> KnownLimit | None:
-        """Find the limit of a server.
+        """Find the active limit of a server.
 
-        :param server: name of its start.
-        :returns: the limit in force; None where there is none.
+        :param server: name of its incarnation.
+        :returns: the limit; None if there is none.
         """
         known = self._known.get(server)
         return known if known and known.rate else None
 
     def keep_only(self, servers: Collection[str], now: float) -> None:
-        """Forget servers that are gone.
+        """Drop limits of servers that are not listed any more.
 
-        :param servers: names of those that are listed.
-        :param now: seconds.
+        :param servers: names of the listed incarnations.
+        :param now: seconds on the monotonic clock.
         """
         for server, known in tuple(self._known.items()):
-            if server not in servers and now - known.answered_at > KEEP_TIME:
+            if (
+                server not in servers
+                and now - known.answered_at > UNLISTED_TTL_S
+            ):
                 self._known.pop(server)
 
-    def _learn(
+    def _store(
         self,
         server: str,
         rate: float,
         answered_at: float,
         now: float,
     ) -> None:
-        before = self.find(server)
-        since = before.since if before else now
+        previous = self.find(server)
+        since = previous.since if previous else now
         self._known[server] = KnownLimit(rate, answered_at, since)
--- a/src/dykemast/_internal/operations/shared_rate_limiter.py
+++ b/src/dykemast/_internal/operations/shared_rate_limiter.py
@@ -1,12 +1,12 @@
-"""What all routers together send to one server, without asking each other.
-
-A server that has just started is empty, so that it looks like the best choice
-to each router at the same moment, and it falls over; one that names a limit
-means all routers by it, and each knows only what it sent itself. A few
-routers, the same ones wherever the list of routers is the same, may send to
-such a server, each so seldom that all of them keep to its rate in any second.
-An equal share for every router would let them save up one request each, and
-send these at once.
+"""Rate limit of one server that all routers keep without communication.
+
+A server that has just started has no load, so all routers would choose it at
+the same time and overload it. A limit that a server sends applies to all
+routers together, and each knows only its own requests. Therefore only a few
+routers send to such a server, chosen by rendezvous hashing from the list of
+routers, each at an interval that keeps the sum within the rate in any second.
+With an equal share for every router, each could save up one request, and all
+could send them at the same time.
 """
 
 import math
@@ -15,48 +15,47 @@
 
 from dykemast._internal.operations.rendezvous import rank_owners
 
-#: Seconds in which requests to a server are counted, with what a clock that
-#: runs a little fast adds.
-WINDOW: Final = 1.05
-#: Seconds without word of a server after which the next router in rank takes
-#: a turn: those that should may be gone, and only an answer ends a limit. Far
-#: longer than news take, so that whoever hears of others stays silent.
-UNHEARD_TIME: Final = 5.0
+#: Window of the rate limit, with a margin for clocks that run fast.
+WINDOW_S: Final = 1.05
+#: Time without a known response of a server after which the next router in rank
+#: sends one request: the chosen routers may be gone, and only a response ends a
+#: limit. Far longer than gossip takes, so that it is rare otherwise.
+SILENCE_S: Final = 5.0
 
 
 class Share(NamedTuple):
-    """Part of one router in what a server bears.
+    """Share of one router in the rate limit of a server.
 
-    :param routers: all that are listed.
-    :param rate: requests a second that the server bears.
-    :param behind: routers in rank from the last that sends to this one; 0 or
-        less for one that sends.
-    :param interval: seconds between two of its requests.
+    :param routers: names of all listed routers.
+    :param rate: limit of the server in requests per second.
+    :param standby_rank: distance in rank from the last router that sends; 0 or
+        less for a router that sends.
+    :param interval: seconds between two requests of this router.
     """
 
     routers: frozenset[str]
     rate: float
-    behind: int
+    standby_rank: int
     interval: float
 
 
-class Turns(NamedTuple):
-    """Which routers send to a server, and how often.
+class RateSplit(NamedTuple):
+    """Split of a rate limit among the first routers in rank.
 
-    :param routers: how many of the first in rank.
-    :param interval: seconds between two requests of one of them.
+    :param routers: number of routers that send.
+    :param interval: seconds between two requests of one router.
     """
 
     routers: int
     interval: float
 
 
-def share_rate(routers: int, rate: float) -> Turns:
-    """Share what a server bears among as many as make the most of it.
+def split_rate(routers: int, rate: float) -> RateSplit:
+    """Split a rate limit so that the largest part of it is usable.
 
-    :param routers: how many are listed.
-    :param rate: requests a second that the server bears.
-    :returns: the turns.
+    :param routers: number of listed routers.
+    :param rate: limit of the server in requests per second.
+    :returns: the split.
     """
     most = max(1, min(routers, math.floor(rate)))
     count = max(
@@ -64,18 +63,18 @@
         key=lambda number: (number * math.floor(rate / number), number),
     )
     each = math.floor(rate / count)
-    return Turns(count, WINDOW / (each or rate))
+    return RateSplit(count, WINDOW_S / (each or rate))
 
 
 class SharedRateLimiter:
-    """What one router sends to servers that bear a rate.
+    """Share of one router in the rate limits of servers.
 
-    :param own: name of the router.
-    :param started_at: seconds at which it started.
+    :param own: name of this router.
+    :param started_at: seconds on the monotonic clock at which it started.
     """
 
     def __init__(self, own: str, started_at: float) -> None:
-        """Have sent nothing; the process before on this instance may have."""
+        """Assume that an earlier process sent requests until the start."""
         self._own = own
         self._started_at = started_at
         self._shares: dict[str, Share] = {}
@@ -87,37 +86,37 @@
         routers: frozenset[str],
         rate: float,
         now: float,
-        heard_at: float = math.inf,
+        answered_at: float = math.inf,
     ) -> float:
-        """Measure for how long a server gets nothing from this router.
-
-        :param server: name of its start.
-        :param routers: names of all routers that are listed.
-        :param rate: requests a second that it bears.
-        :param now: seconds.
-        :param heard_at: seconds at which any router last had an answer of it,
-            as far as is known; infinite where nobody needs another one.
-        :returns: seconds; 0 when it may get a request, infinite when it may
-            not from this router.
+        """Compute the time until this router may send to a server.
+
+        :param server: name of its incarnation.
+        :param routers: names of all listed routers.
+        :param rate: limit of the server in requests per second.
+        :param now: seconds on the monotonic clock.
+        :param answered_at: seconds on the monotonic clock of the last known
+            response to any router; infinite if no response is needed.
+        :returns: seconds; 0 if this router may send now, infinite if only
+            other routers may send.
         """
         share = self._find_share(server, routers, rate)
         sent_at = self._sent_at.get(server, self._started_at)
         wait = max(0, sent_at + share.interval - now)
-        asks_at = heard_at + share.behind * UNHEARD_TIME
-        return math.inf if share.behind > 0 and now < asks_at else wait
+        probe_at = answered_at + share.standby_rank * SILENCE_S
+        return math.inf if share.standby_rank > 0 and now < probe_at else wait
 
     def record_sent(self, server: str, now: float) -> None:
-        """Take note that a server gets a request.
+        """Record that this router sends a request.
 
-        :param server: name of its start.
-        :param now: seconds.
+        :param server: name of its incarnation.
+        :param now: seconds on the monotonic clock.
         """
         self._sent_at[server] = now
 
     def keep_only(self, servers: Iterable[str]) -> None:
-        """Forget servers that are gone.
+        """Drop servers that are not listed any more.
 
-        :param servers: names of those that are not.
+        :param servers: names of the listed incarnations.
         """
         kept = set(servers)
         for known in (self._shares, self._sent_at):
@@ -132,9 +131,9 @@
     ) -> Share:
         share = self._shares.get(server)
         if share is None or (share.routers, share.rate) != (routers, rate):
-            turns = share_rate(len(routers), rate)
-            place = rank_owners(server, routers).index(self._own)
-            behind = 1 + place - turns.routers
-            share = Share(routers, rate, behind, turns.interval)
+            split = split_rate(len(routers), rate)
+            rank = rank_owners(server, routers).index(self._own)
+            standby_rank = 1 + rank - split.routers
+            share = Share(routers, rate, standby_rank, split.interval)
             self._shares[server] = share
         return share
--- a/src/dykemast/_internal/operations/worker_load.py
+++ b/src/dykemast/_internal/operations/worker_load.py
@@ -1,22 +1,22 @@
-"""How busy a worker is, judged from reports that lag."""
+"""Estimated load of a worker, from delayed load reports."""
 
 from typing import Final, NamedTuple
 
 from dykemast._internal.models.fleet import Instance, LoadReport
 
-#: Seconds after which a load report counts half.
-REPORT_HALF_LIFE: Final = 5.0
-#: Part of this router's change that each router is taken to have made.
-OTHERS_SHARE: Final = 0.5
-#: Requests that a worker in another hall counts as busier.
-HALL_COST: Final = 3.0
+#: Age at which the weight of a load report is one half.
+REPORT_HALF_LIFE_S: Final = 5.0
+#: Part of this router's change in load that each router is assumed to make.
+PEER_CHANGE_SHARE: Final = 0.5
+#: Additional load, in requests, of a worker in another hall.
+REMOTE_HALL_PENALTY: Final = 3.0
 
 
 class Candidate(NamedTuple):
-    """A worker that could run a request.
+    """A worker that can run a request.
 
     :param instance: the worker.
-    :param inflight: requests that this router has sent and not got back.
+    :param inflight: requests of this router that are in flight there.
     :param report: its last load report.
     """
 
@@ -26,12 +26,12 @@
 
 
 class RankingContext(NamedTuple):
-    """What a ranking depends on.
+    """Inputs of a ranking other than the candidates.
 
     :param hall: hall of this router.
-    :param prefix: hash of the prompt's leading part; 0 for none.
-    :param now: seconds.
-    :param routers: routers that send to the same workers.
+    :param prefix: hash of the prompt's prefix; 0 for none.
+    :param now: seconds on the monotonic clock.
+    :param routers: number of routers that send to the same workers.
     """
 
     hall: str
@@ -41,27 +41,27 @@
 
 
 def estimate_load(candidate: Candidate, ranking: RankingContext) -> float:
-    """Estimate how busy a worker is.
+    """Estimate the load of a worker.
 
-    The last report, and what has changed since: the other routers are taken
-    to have done about what this one did, half of it for caution. Reports
-    alone send everybody to the same worker until the next one comes. What
-    an old report says fades into what this router sees itself.
+    Adds to the last report the change since then: each router is assumed to
+    have sent half as much as this one. With reports alone, all routers would
+    choose the same worker until the next report. With its age, the report
+    loses weight against the requests of this router.
 
     :param candidate: the worker.
-    :param ranking: hall, routers and time.
-    :returns: requests.
+    :param ranking: hall, number of routers and time.
+    :returns: number of requests.
     """
     age = max(0, ranking.now - candidate.report.at)
-    trust = 0.5 ** (age / REPORT_HALF_LIFE)
-    estimate = trust * _bring_up_to_date(candidate, ranking.routers)
-    estimate += (1 - trust) * candidate.inflight * ranking.routers
+    weight = 0.5 ** (age / REPORT_HALF_LIFE_S)
+    estimate = weight * _extrapolate(candidate, ranking.routers)
+    estimate += (1 - weight) * candidate.inflight * ranking.routers
     if candidate.instance.hall != ranking.hall:
-        estimate += HALL_COST
+        estimate += REMOTE_HALL_PENALTY
     return estimate
 
 
-def _bring_up_to_date(candidate: Candidate, routers: int) -> float:
+def _extrapolate(candidate: Candidate, routers: int) -> float:
     report = candidate.report
     change = (candidate.inflight - report.own) * routers
-    return report.running + report.waiting + change * OTHERS_SHARE
+    return report.running + report.waiting + change * PEER_CHANGE_SHARE
--- a/src/dykemast/_internal/serving/choice/__init__.py
+++ b/src/dykemast/_internal/serving/choice/__init__.py
@@ -1,5 +1,6 @@
-"""Which backend server gets a request.
+"""Choice of the backend server for a request.
 
-In: a ticket, usable servers, their loads, prompts and trust. Out: a server;
-how a send ended goes back into loads and trust.
+Input: an admitted request, the usable servers, their loads, cached prompts and
+health scores. Output: a server. The outcome of the request updates loads and
+health scores.
 """
--- a/src/dykemast/_internal/serving/choice/candidates.py
+++ b/src/dykemast/_internal/serving/choice/candidates.py
@@ -1,4 +1,4 @@
-"""Backend servers that a request may go to, now or soon."""
+"""Backend servers that may get a request, now or after a wait."""
 
 import math
 from collections.abc import Iterable
@@ -21,58 +21,58 @@
     admitted: AdmittedRequest,
     tried: Iterable[str],
 ) -> list[BackendServer]:
-    """List the servers that a request may go to, sooner or later.
+    """List the servers that may get a request, now or later.
 
-    :param parts: parts of the program.
-    :param admitted: the request.
-    :param tried: servers that had it before.
-    :returns: the servers, also those that get nothing for a while.
+    :param parts: shared components.
+    :param admitted: the admitted request.
+    :param tried: names of servers that it was sent to before.
+    :returns: the servers, including those with a limit or backoff.
     """
-    present = _list_present(parts, admitted)
-    return [server for server in present if server.name not in tried]
+    reachable = _list_reachable(parts, admitted)
+    return [server for server in reachable if server.name not in tried]
 
 
-def list_open(
+def list_available(
     parts: Parts,
     admitted: AdmittedRequest,
     servers: Iterable[BackendServer],
 ) -> list[BackendServer]:
     """List the servers that may get a request now.
 
-    :param parts: parts of the program.
-    :param admitted: the request.
-    :param servers: of its service.
-    :returns: those that bear it, and where only a rate, whose turn it is.
+    :param parts: shared components.
+    :param admitted: the admitted request.
+    :param servers: servers of its service.
+    :returns: servers without backoff whose rate limits allow a request.
     """
     return [one for one in servers if not compute_wait(parts, admitted, one)]
 
 
-def choose_apart(
+def choose_isolated(
     usable: list[BackendServer],
-    apart: str,
+    isolate_key: str,
 ) -> BackendServer | None:
-    """Choose so that requests under suspicion are seldom together.
+    """Choose a server by hash, to keep suspected requests apart.
 
-    Whoever else was there when the next server ends is cleared the sooner.
+    If that server crashes as well, its other requests are cleared sooner.
 
-    :param usable: servers that may get it now.
-    :param apart: digest of the request.
-    :returns: one of them; None when there is none.
+    :param usable: servers that may get the request now.
+    :param isolate_key: digest of the request.
+    :returns: one of them; None without servers.
     """
     by_name = {one.name: one for one in usable}
-    name = choose_owner(apart, by_name)
+    name = choose_owner(isolate_key, by_name)
     return by_name[name] if name else None
 
 
 def compute_wait(
     parts: Parts, admitted: AdmittedRequest, server: BackendServer
 ) -> float:
-    """Measure for how long a server gets nothing from this router.
+    """Compute the time until this router may send to a server.
 
-    :param parts: parts of the program.
-    :param admitted: the request.
-    :param server: of its service.
-    :returns: seconds; infinite while only other routers may send to it.
+    :param parts: shared components.
+    :param admitted: the admitted request.
+    :param server: a server of its service.
+    :returns: seconds; infinite while only other routers may send.
     """
     return send_checks.compute_wait(
         parts.board, parts.turns, server, admitted.service.cold_rate
@@ -84,12 +84,12 @@
     admitted: AdmittedRequest,
     tried: Iterable[str] = (),
 ) -> float:
-    """Find how long it takes until some server may get a request.
+    """Compute the time until the first server may get a request.
 
-    :param parts: parts of the program.
-    :param admitted: the request.
-    :param tried: servers that had it before.
-    :returns: seconds; infinite when none may, as far as is known.
+    :param parts: shared components.
+    :param admitted: the admitted request.
+    :param tried: names of servers that it was sent to before.
+    :returns: seconds; infinite when no server is known to become available.
     """
     waits = (
         compute_wait(parts, admitted, server)
@@ -98,13 +98,13 @@
     return min(waits, default=math.inf)
 
 
-def note_chosen(
+def record_choice(
     parts: Parts, admitted: AdmittedRequest, server: BackendServer
 ) -> None:
-    """Take note that a server gets a request.
+    """Record that a server gets a request.
 
-    :param parts: parts of the program.
-    :param admitted: the request.
+    :param parts: shared components.
+    :param admitted: the admitted request.
     :param server: the server.
     """
     now = read_clock()
@@ -130,16 +130,16 @@
         )
 
 
-def _list_present(
+def _list_reachable(
     parts: Parts, admitted: AdmittedRequest
 ) -> list[BackendServer]:
-    """List allowed servers, without those found absent if there are others."""
+    """List allowed servers, without absent ones unless all are absent."""
     allowed_regions = admitted.list_allowed_regions()
     allowed = list_allowed(parts.board, admitted.service.name, allowed_regions)
     now = read_clock()
-    present = [
+    reachable = [
         one
         for one in allowed
         if not parts.loads.absent.is_absent(one.name, now)
     ]
-    return present or allowed
+    return reachable or allowed
--- a/src/dykemast/_internal/serving/choice/choices.py
+++ b/src/dykemast/_internal/serving/choice/choices.py
@@ -1,4 +1,4 @@
-"""Choose the backend server of a request from what is known now."""
+"""Choice of a backend server from current loads, caches and health."""
 
 import random
 from collections.abc import Iterable
@@ -8,16 +8,16 @@
     EngineOption,
     ServiceOption,
     choose_cheapest,
-    cost_engine,
-    cost_plain,
-    count_harmful,
+    compute_engine_cost,
+    compute_plain_cost,
+    count_delaying_tokens,
 )
 from dykemast._internal.operations.prompt_caches import choose_prefix_owner
 from dykemast._internal.serving.choice.candidates import (
-    choose_apart,
-    list_open,
+    choose_isolated,
+    list_available,
     list_untried,
-    note_chosen,
+    record_choice,
 )
 from dykemast._internal.serving.state.loads import compute_load
 from dykemast._internal.serving.parts import Parts
@@ -29,20 +29,23 @@
     parts: Parts,
     admitted: AdmittedRequest,
     tried: Iterable[str],
-    apart: str = '',
+    isolate_key: str = '',
 ) -> BackendServer | None:
     """Choose a backend server.
 
-    :param parts: parts of the program.
-    :param admitted: the request.
-    :param tried: servers that had it before.
-    :param apart: its digest, when a server has ended under it.
-    :returns: a server, or nothing when there is none left.
+    :param parts: shared components.
+    :param admitted: the admitted request.
+    :param tried: names of servers that it was sent to before.
+    :param isolate_key: digest of the request if it is suspected to crash
+        servers; empty otherwise.
+    :returns: a server; None if none is available.
     """
-    usable = list_open(parts, admitted, list_untried(parts, admitted, tried))
-    server = _choose(parts, admitted, usable, apart)
+    usable = list_available(
+        parts, admitted, list_untried(parts, admitted, tried)
+    )
+    server = _choose(parts, admitted, usable, isolate_key)
     if server:
-        note_chosen(parts, admitted, server)
+        record_choice(parts, admitted, server)
     return server
 
 
@@ -50,49 +53,52 @@
     parts: Parts,
     admitted: AdmittedRequest,
     usable: list[BackendServer],
-    apart: str,
+    isolate_key: str,
 ) -> BackendServer | None:
-    if apart:
-        return choose_apart(usable, apart)
+    if isolate_key:
+        return choose_isolated(usable, isolate_key)
     if admitted.service.engine:
-        home = choose_prefix_owner(
+        prefix_owner = choose_prefix_owner(
             admitted.request.prompt, (one.name for one in usable)
         )
-        engines = [_weigh_engine(parts, admitted, one, home) for one in usable]
-        name = choose_cheapest(engines, cost_engine, random.random)
+        engines = [
+            _make_engine_option(parts, admitted, one, prefix_owner)
+            for one in usable
+        ]
+        name = choose_cheapest(engines, compute_engine_cost, random.random)
     else:
-        plain = [_weigh_plain(parts, one) for one in usable]
-        name = choose_cheapest(plain, cost_plain, random.random)
+        plain = [_make_plain_option(parts, one) for one in usable]
+        name = choose_cheapest(plain, compute_plain_cost, random.random)
     return parts.board.servers[name] if name else None
 
 
 def count_uncached(parts: Parts, admitted: AdmittedRequest, server: str) -> int:
-    """Count the prompt tokens that an engine would have to read.
+    """Count the prompt tokens that an engine has to prefill.
 
-    :param parts: parts of the program.
-    :param admitted: the request.
+    :param parts: shared components.
+    :param admitted: the admitted request.
     :param server: id of the engine.
     :returns: tokens.
     """
     request = admitted.request
-    kept = parts.loads.caches.count_cached(server, request.prompt)
-    return max(0, request.prompt_tokens - kept)
+    cached = parts.loads.caches.count_cached(server, request.prompt)
+    return max(0, request.prompt_tokens - cached)
 
 
-def _count_missing_shared(
+def _count_uncached_shared(
     parts: Parts, admitted: AdmittedRequest, server: str
 ) -> int:
-    # The last part is the request's own, or its session's.
+    # The last part belongs to the request or its session alone.
     shared = admitted.request.prompt[:-1]
     total = sum(part.tokens for part in shared)
     return total - parts.loads.caches.count_cached(server, shared)
 
 
-def _weigh_engine(
+def _make_engine_option(
     parts: Parts,
     admitted: AdmittedRequest,
     server: BackendServer,
-    home: str | None,
+    prefix_owner: str | None,
 ) -> EngineOption:
     name = server.name
     load = compute_load(parts.loads, name, read_clock())
@@ -101,31 +107,31 @@
         running=load.running,
         slots=server.slots,
         unread=load.unread,
-        missing=count_uncached(parts, admitted, name),
-        missing_shared=0
-        if name == home
-        else _count_missing_shared(parts, admitted, name),
+        uncached=count_uncached(parts, admitted, name),
+        uncached_shared=0
+        if name == prefix_owner
+        else _count_uncached_shared(parts, admitted, name),
         tokens_per_event=admitted.service.get_tokens_per_event(),
         pause_risk=0,
-        trust=parts.trust.get_score(name, read_clock()),
+        health=parts.trust.get_score(name, read_clock()),
     )
     return _add_pause_risk(parts, option)
 
 
 def _add_pause_risk(parts: Parts, option: EngineOption) -> EngineOption:
-    unread = option.unread + option.missing
-    if not count_harmful(unread, option.tokens_per_event):
+    unread = option.unread + option.uncached
+    if not count_delaying_tokens(unread, option.tokens_per_event):
         return option
     risk = parts.loads.pauses.estimate_risk(option.server, read_clock())
     return option._replace(pause_risk=risk)
 
 
-def _weigh_plain(parts: Parts, server: BackendServer) -> ServiceOption:
+def _make_plain_option(parts: Parts, server: BackendServer) -> ServiceOption:
     now = read_clock()
     return ServiceOption(
         server=server.name,
         running=compute_load(parts.loads, server.name, now).running,
         slots=server.slots,
-        near=server.hall == parts.board.settings.hall,
-        trust=parts.trust.get_score(server.name, now),
+        same_hall=server.hall == parts.board.settings.hall,
+        health=parts.trust.get_score(server.name, now),
     )
--- a/src/dykemast/_internal/serving/choice/outcomes.py
+++ b/src/dykemast/_internal/serving/choice/outcomes.py
@@ -1,4 +1,4 @@
-"""What sends to backend servers came to, and how many may be repeated."""
+"""Outcomes of requests to backend servers, and retry budgets."""
 
 import asyncio
 from typing import Final
@@ -11,53 +11,52 @@
 
 _log = make_logger('route')
 
-#: Seconds for which a server that is not at its address is passed over: its
-#: entry goes after three heartbeats of 1.2 s, and one that comes back has
-#: another id.
-ABSENT_TIME: Final = 4.0
-#: Seconds between two rounds. Each start of a server has another id, so that
-#: what is known of those before would stay for ever; a cache holds up to all
-#: parts of prompts that an engine keeps.
-FORGET_PAUSE: Final = 10.0
+#: Time for which an absent server gets no requests. Its entry expires after
+#: three missed heartbeats of 1.2 s, and a restarted server has another id.
+ABSENT_TIME_S: Final = 4.0
+#: Interval of pruning. Each incarnation of a server has another name, so the
+#: state of earlier ones would accumulate; one prompt cache holds up to as many
+#: parts as the cache of the engine.
+PRUNE_INTERVAL_S: Final = 10.0
 
 
 def get_retry_budget(parts: Parts, service: str) -> RetryBudget:
-    """Find the allowance for second sends to a service, or open it.
+    """Get the retry budget of a service, or create it.
 
-    :param parts: parts of the program.
-    :param service: the service.
-    :returns: its allowance.
+    :param parts: shared components.
+    :param service: name of the service.
+    :returns: its retry budget.
     """
-    allowance = parts.retries.get(service)
-    if allowance is None:
+    budget = parts.retries.get(service)
+    if budget is None:
         bounds = parts.board.settings.bounds
-        allowance = RetryBudget(
+        budget = RetryBudget(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window
         )
-        parts.retries[service] = allowance
-    return allowance
+        parts.retries[service] = budget
+    return budget
 
 
 def record_absent(parts: Parts, server: BackendServer) -> None:
-    """Take note that a backend server is no longer at its address.
+    """Record that nothing listens at the address of a backend server.
 
-    :param parts: parts of the program.
+    :param parts: shared components.
     :param server: the server.
     """
     now = read_clock()
     if not parts.loads.absent.is_absent(server.name, now):
-        _log('server_absent', server=server.name, seconds=ABSENT_TIME)
-    parts.loads.absent.record(server.name, now, ABSENT_TIME)
+        _log('server_absent', server=server.name, seconds=ABSENT_TIME_S)
+    parts.loads.absent.record(server.name, now, ABSENT_TIME_S)
 
 
 def record_outcome(
     parts: Parts, server: BackendServer, *, failed: bool
 ) -> None:
-    """Take note of how a backend server did.
+    """Record the outcome of a request to a backend server.
 
-    :param parts: parts of the program.
+    :param parts: shared components.
     :param server: the server.
-    :param failed: whether it failed.
+    :param failed: whether the request failed.
     """
     parts.trust.record_outcome(server.name, read_clock(), failed=failed)
     outcome = 'failed' if failed else 'done'
@@ -65,13 +64,13 @@
 
 
 async def forget_gone(parts: Parts) -> None:
-    """Forget servers that are not listed any more, for ever.
+    """Prune the state of unlisted servers periodically; never returns.
 
-    :param parts: parts of the program.
+    :param parts: shared components.
     """
     while True:
-        await asyncio.sleep(FORGET_PAUSE)
+        await asyncio.sleep(PRUNE_INTERVAL_S)
         parts.loads.caches.keep_only(parts.board.servers)
         parts.trust.keep_only(parts.board.servers)
         parts.turns.keep_only(parts.board.servers)
-        parts.board.backpressure.forget(parts.board.servers, read_clock())
+        parts.board.backpressure.expire(parts.board.servers, read_clock())
--- a/src/dykemast/_internal/serving/sending/send_checks.py
+++ b/src/dykemast/_internal/serving/sending/send_checks.py
@@ -1,4 +1,4 @@
-"""Whether a server gets a request now, by what it bears and asks for."""
+"""Checks whether a server may get a request, by its backpressure."""
 
 import math
 
@@ -18,56 +18,60 @@
     server: BackendServer,
     cold_rate: float,
 ) -> float:
-    """Measure for how long a server gets nothing from this router.
+    """Compute the time until this router may send to a server.
 
     :param board: the blackboard.
-    :param turns: what this router sends to servers that bear a rate.
+    :param turns: limiter for servers with a rate limit.
     :param server: the server.
-    :param cold_rate: requests a second that it bears while it is cold; 0 where
-        it bears what others do.
-    :returns: seconds; infinite while only other routers may send to it.
+    :param cold_rate: limit in requests per second while the server is cold; 0
+        for no limit.
+    :returns: seconds; infinite while only other routers may send.
     """
     name = server.name
-    if name not in board.cold_until and not board.backpressure.is_bound(name):
-        # Nearly always, and each request looks at each server.
+    if (
+        name not in board.cold_until
+        and not board.backpressure.may_be_restricted(name)
+    ):
+        # The common case: each request checks each server.
         return 0
     now = read_clock()
-    rest = board.backpressure.get_backoff(name, now)
-    bound = _find_rate(board, name, cold_rate, now)
-    if bound is None:
-        return rest
+    backoff = board.backpressure.get_backoff(name, now)
+    limit = _find_rate(board, name, cold_rate, now)
+    if limit is None:
+        return backoff
     if not board.peers_read.is_set():
-        # Who else sends there is not known.
+        # The routers that share the limit are not known yet.
         return math.inf
     routers = frozenset((board.settings.name, *board.peers))
     return max(
-        rest,
-        turns.compute_wait(name, routers, bound.rate, now, bound.answered_at),
+        backoff,
+        turns.compute_wait(name, routers, limit.rate, now, limit.answered_at),
     )
 
 
 def check_send(
     board: ServingBoard,
-    sending: UpstreamRequest,
+    outgoing: UpstreamRequest,
 ) -> None:
-    """Check once more that a server gets a request, when its bytes go out.
+    """Check again that a server may get a request, before its first byte.
 
-    Since it was chosen, it took a connection, and other answers came.
+    Responses of the server may have arrived while its connection was opened.
 
     :param board: the blackboard.
-    :param sending: what is sent.
-    :raises HeldBackError: when the server does not get it now.
+    :param outgoing: the request to the server.
+    :raises BackpressureError: if the server is leaving, has a backoff, or has
+        set a limit since it was chosen.
     """
-    name = sending.server.name
+    name = outgoing.server.name
     if name in board.leaving or board.backpressure.delisted.find(
-        sending.server.server_id
+        outgoing.server.server_id
     ):
-        raise BackpressureError('it leaves')
+        raise BackpressureError(f'server {name} is leaving')
     if board.backpressure.get_backoff(name, read_clock()):
-        raise BackpressureError('it rests')
+        raise BackpressureError(f'server {name} requested a backoff')
     limit = board.backpressure.limits.find(name)
-    if limit and limit.since > sending.made_at:
-        raise BackpressureError('it has named a limit')
+    if limit and limit.since > outgoing.made_at:
+        raise BackpressureError(f'server {name} set a limit of {limit.rate}/s')
 
 
 def _find_rate(
@@ -76,12 +80,12 @@
     cold_rate: float,
     now: float,
 ) -> KnownLimit | None:
-    """Find the lowest rate that binds a server, cold or by its own word."""
-    bounds = []
+    """Find the lowest active limit of a server, set by it or while cold."""
+    limits = []
     if cold_rate and is_cold(board, name, now):
-        # It warms up by itself, so that nobody has to ask.
-        bounds.append(KnownLimit(cold_rate, math.inf, now))
+        # This limit ends without a response, so no router has to probe.
+        limits.append(KnownLimit(cold_rate, math.inf, now))
     named = board.backpressure.limits.find(name)
     if named:
-        bounds.append(named)
-    return min(bounds, default=None)
+        limits.append(named)
+    return min(limits, default=None)
--- a/src/dykemast/_internal/serving/sending/upstream.py
+++ b/src/dykemast/_internal/serving/sending/upstream.py
@@ -15,16 +15,16 @@
     UpstreamRequest,
 )
 from dykemast._internal.serving.sending.upstream_session import (
-    before_bytes,
+    pre_send_check,
     make_url,
     open_session,
 )
 from dykemast._internal.serving.sending.upstream_response import (
-    FAILURES,
+    RESPONSE_ERRORS,
     UpstreamResponse,
     NoteHead,
     check_head,
-    is_break,
+    is_connection_error,
     read_head,
 )
 from dykemast._internal.utils.clock import read_clock
@@ -38,32 +38,32 @@
 class Upstreams:
     """Pooled connections to backend servers.
 
-    :param check_send: raises when a send must not go out after all.
-    :param note_head: takes note of the head of each answer.
+    :param check_send: raises if a request must not be sent any more.
+    :param note_head: records the head of each response.
     """
 
     def __init__(self, check_send: CheckSend, note_head: NoteHead) -> None:
-        """Open no connection yet."""
+        """Start without connections."""
         self._check_send = check_send
         self._note_head = note_head
         self._session: aiohttp.ClientSession | None = None
 
     @asynccontextmanager
     async def send(
-        self, sending: UpstreamRequest
+        self, outgoing: UpstreamRequest
     ) -> AsyncIterator[UpstreamResponse]:
-        """Send a request; its connection is kept if the answer is whole.
+        """Send a request, and keep its connection if the response is complete.
 
-        Else it is closed, so that the server stops its work.
+        Otherwise close the connection, so that the server stops its work.
 
-        :param sending: what to send.
-        :yields: the answer that has begun.
-        :raises UpstreamError: when there is none, or not to this request;
-            it tells whether the request may have run.
+        :param outgoing: the request to the server.
+        :yields: the response, after its head was checked.
+        :raises UpstreamError: if there is no response to this request; says
+            whether the request may have run.
         """
-        response = await self._open(sending)
+        response = await self._open(outgoing)
         try:
-            yield self._begin_answer(sending, response)
+            yield self._make_response(outgoing, response)
         except BaseException:
             response.close()
             raise
@@ -74,51 +74,51 @@
         if self._session:
             await self._session.close()
 
-    def _begin_answer(
+    def _make_response(
         self,
-        sending: UpstreamRequest,
+        outgoing: UpstreamRequest,
         response: aiohttp.ClientResponse,
     ) -> UpstreamResponse:
-        head = read_head(sending.request.request_id, response)
-        self._note_head(sending.server, head)
+        head = read_head(outgoing.request.request_id, response)
+        self._note_head(outgoing.server, head)
         check_head(head)
         return UpstreamResponse(head, response)
 
-    async def _open(self, sending: UpstreamRequest) -> aiohttp.ClientResponse:
+    async def _open(self, outgoing: UpstreamRequest) -> aiohttp.ClientResponse:
         try:
-            return await self._request(sending)
+            return await self._request(outgoing)
         except _NO_CONNECTION as error:
-            text = f'no connection: {type(error).__name__}'
+            text = f'cannot connect: {type(error).__name__}'
             raise UpstreamError(
                 text,
                 sent=False,
                 unconnected=True,
                 absent=_is_refused(error),
             ) from error
-        except FAILURES as error:
-            text = f'no answer: {type(error).__name__}'
+        except RESPONSE_ERRORS as error:
+            text = f'no response: {type(error).__name__}'
             raise UpstreamError(
-                text, sent=True, broken=is_break(error)
+                text, sent=True, broken=is_connection_error(error)
             ) from error
 
     async def _request(
-        self, sending: UpstreamRequest
+        self, outgoing: UpstreamRequest
     ) -> aiohttp.ClientResponse:
         if self._session is None:
             self._session = open_session()
-        request = sending.request
-        before_bytes.set(partial(self._check_send, sending))
-        async with asyncio.timeout(sending.deadline - read_clock()):
+        request = outgoing.request
+        pre_send_check.set(partial(self._check_send, outgoing))
+        async with asyncio.timeout(outgoing.deadline - read_clock()):
             return await self._session.request(
                 request.method,
-                make_url(sending.server.endpoint, request.target),
-                data=sending.body or None,
-                headers=encode_forwarding(request, sending.added),
+                make_url(outgoing.server.endpoint, request.target),
+                data=outgoing.body or None,
+                headers=encode_forwarding(request, outgoing.added),
                 allow_redirects=False,
             )
 
 
 def _is_refused(error: Exception) -> bool:
-    """Tell whether nobody listens at the address, rather than silence."""
+    """Check whether the connection was refused, not lost or timed out."""
     cause = getattr(error, 'os_error', None)
     return isinstance(cause, ConnectionRefusedError)
--- a/src/dykemast/_internal/serving/sending/upstream_request.py
+++ b/src/dykemast/_internal/serving/sending/upstream_request.py
@@ -1,4 +1,4 @@
-"""What is sent to a backend server."""
+"""Requests to backend servers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,15 +12,16 @@
 
 
 class UpstreamRequest(NamedTuple):
-    """What is sent to a backend server.
+    """A request to a backend server.
 
     :param server: the server.
     :param request: the caller's request.
     :param body: its body.
-    :param added: what this router adds.
-    :param deadline: seconds on the steady clock by which the answer has to
-        have begun.
-    :param made_at: seconds on the steady clock at which the server was chosen.
+    :param added: header fields that this router adds.
+    :param deadline: seconds on the monotonic clock by which the response has
+        to begin.
+    :param made_at: seconds on the monotonic clock at which the server was
+        chosen.
     """
 
     server: BackendServer
@@ -31,15 +32,15 @@
     made_at: float
 
     def resume_after(self, event: str) -> 'UpstreamRequest':
-        """Ask for a stream from after an event.
+        """Make a request that resumes a stream after an event.
 
-        :param event: its id; empty for the whole stream.
-        :returns: what to send.
+        :param event: id of the event; empty for the whole stream.
+        :returns: the request.
         """
         return self._replace(added=self.added._replace(last_event_id=event))
 
 
-#: Raises when a send must not go out after all.
+#: Raises if a request must not be sent any more.
 CheckSend = Callable[[UpstreamRequest], None]
 
 
@@ -48,12 +49,12 @@
     body: bytes,
     server: BackendServer,
 ) -> UpstreamRequest:
-    """Make what is sent of a request.
+    """Make the request to a backend server.
 
-    :param admitted: the request.
+    :param admitted: the admitted request.
     :param body: its body.
     :param server: the server that gets it.
-    :returns: what to send.
+    :returns: the request to the server.
     """
     workspace = admitted.workspace
     now = read_clock()
--- a/src/dykemast/_internal/serving/sending/upstream_response.py
+++ b/src/dykemast/_internal/serving/sending/upstream_response.py
@@ -1,4 +1,4 @@
-"""Answers of backend servers."""
+"""Responses of backend servers."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -12,72 +12,78 @@
 from dykemast._internal.platform.answer_headers import decode_answer
 from dykemast._internal.utils.clock import read_clock
 
-#: Takes note of the head of an answer of a server.
+#: Records the head of a response of a server.
 NoteHead = Callable[[BackendServer, ResponseHead], None]
 
-#: Bytes of one answer at most.
-MAX_ANSWER: Final = 16_777_216
-#: What the client library raises when a connection or an answer fails.
-FAILURES: Final = (aiohttp.ClientError, TimeoutError, OSError, ValueError)
+MAX_RESPONSE_BYTES: Final = 16_777_216
+#: Exceptions of the client library for a failed connection or response.
+RESPONSE_ERRORS: Final = (
+    aiohttp.ClientError,
+    TimeoutError,
+    OSError,
+    ValueError,
+)
 _OK: Final = 200
 _FIRST_FAILURE: Final = 300
 
 
 class UpstreamResponse(NamedTuple):
-    """An answer that has begun.
+    """A response whose head has arrived.
 
     :param head: its head.
-    :param response: the rest of it.
+    :param response: the response, with its body still to read.
     """
 
     head: ResponseHead
     response: aiohttp.ClientResponse
 
     async def read_chunks(self, deadline: float) -> AsyncIterator[bytes]:
-        """Read the body as it comes.
+        """Read the body in chunks as they arrive.
 
-        :param deadline: seconds on the steady clock by which it has to end.
-        :returns: its bytes.
-        :raises UpstreamError: when it breaks off, or it is too late.
+        :param deadline: seconds on the monotonic clock by which it has to end.
+        :returns: the chunks.
+        :raises UpstreamError: if the body is truncated or late.
         """
         while True:
             try:
                 async with asyncio.timeout(deadline - read_clock()):
                     chunk = await self.response.content.readany()
-            except FAILURES as error:
-                text = f'the answer broke off: {type(error).__name__}'
+            except RESPONSE_ERRORS as error:
+                text = f'response truncated: {type(error).__name__}'
                 raise UpstreamError(
-                    text, sent=True, broken=is_break(error)
+                    text, sent=True, broken=is_connection_error(error)
                 ) from error
             if not chunk:
                 break
             yield chunk
         if not self.head.delimited:
-            # The library does not tell an end from a reset here.
+            # The library does not distinguish the end from a reset here.
             raise UpstreamError(
-                'the answer has no length.', sent=True, broken=True
+                'response has no length', sent=True, broken=True
             )
 
     async def read_whole(self, deadline: float) -> bytes:
         """Read the whole body.
 
-        :param deadline: seconds on the steady clock by which it has to end.
+        :param deadline: seconds on the monotonic clock by which it has to end.
         :returns: the body.
-        :raises UpstreamError: when it breaks off or is too long.
+        :raises UpstreamError: if it is truncated, late or too long.
         """
         body = bytearray()
         async for chunk in self.read_chunks(deadline):
             body += chunk
-            if len(body) > MAX_ANSWER:
-                raise UpstreamError('the answer is too long.', sent=True)
+            if len(body) > MAX_RESPONSE_BYTES:
+                raise UpstreamError(
+                    f'response exceeds {MAX_RESPONSE_BYTES} bytes', sent=True
+                )
         return bytes(body)
 
 
-def is_break(error: Exception) -> bool:
-    """Tell whether a connection ended, rather than time.
+def is_connection_error(error: Exception) -> bool:
+    """Check whether a connection failed, as opposed to a timeout.
 
-    :param error: one of ``FAILURES``.
-    :returns: whether it did.
+    :param error: one of ``RESPONSE_ERRORS``.
+    :returns: whether the connection failed.
     """
     return not isinstance(error, TimeoutError)
 
@@ -86,31 +92,32 @@
     request_id: str,
     response: aiohttp.ClientResponse,
 ) -> ResponseHead:
-    """Read the head of an answer, and check that it is one to a request.
+    """Read the head of a response, and check which request it belongs to.
 
     :param request_id: id of the request.
-    :param response: the answer.
+    :param response: the response.
     :returns: its head.
-    :raises UpstreamError: when it answers another request.
+    :raises UpstreamError: if it belongs to another request.
     """
     head = decode_answer(response.status, response.headers)
     if head.request_id != request_id:
-        # Whatever it says, it does not say it of this request.
-        raise UpstreamError('answer to another request', sent=True)
+        # Its status says nothing about this request.
+        raise UpstreamError('response to another request', sent=True)
     return head
 
 
 def check_head(head: ResponseHead) -> None:
-    """Check that a request ran, by the head of its answer.
+    """Check by the head of its response that a request ran.
 
     :param head: the head.
-    :raises UpstreamError: when it did not; tells whether it may have.
+    :raises UpstreamError: if it did not run, or the response is unsigned; says
+        whether it may have run.
     """
     if head.not_executed:
         raise UpstreamError(
-            f'not run, status {head.status}',
+            f'not executed, status {head.status}',
             sent=False,
             absent=head.misdirected,
         )
     if _OK <= head.status < _FIRST_FAILURE and not head.signed:
-        raise UpstreamError('the answer is not signed', sent=True)
+        raise UpstreamError('response is not signed', sent=True)
--- a/src/dykemast/_internal/serving/state/loads.py
+++ b/src/dykemast/_internal/serving/state/loads.py
@@ -1,4 +1,4 @@
-"""Requests at backend servers, of this router and of others."""
+"""Load of backend servers, by this router and by its peers."""
 
 from typing import NamedTuple
 
@@ -11,13 +11,13 @@
 
 
 class Loads(NamedTuple):
-    """What is known of the load of backend servers.
+    """Tables of the state of backend servers that routers share.
 
-    :param own: requests of this router.
-    :param peers: requests of other routers.
-    :param caches: prompts that model engines keep.
-    :param absent: servers that were found absent.
-    :param pauses: long pauses of streams at model engines, of all routers.
+    :param own: load by this router.
+    :param peers: load by other routers.
+    :param caches: prompts that model engines have cached.
+    :param absent: servers that refused connections.
+    :param pauses: long pauses of streams at model engines.
     """
 
     own: OwnLoads
@@ -28,9 +28,9 @@
 
 
 def make_loads() -> Loads:
-    """Know nothing yet.
+    """Make empty tables.
 
-    :returns: empty loads.
+    :returns: the tables.
     """
     return Loads(
         OwnLoads(),
@@ -42,12 +42,12 @@
 
 
 def compute_load(loads: Loads, server: str, now: float) -> ServerLoad:
-    """Add up what is known of a server's load.
+    """Add up the load of a server by all routers.
 
-    :param loads: what is known.
+    :param loads: the tables.
     :param server: its id.
-    :param now: seconds.
-    :returns: the load, of all routers that were heard of lately.
+    :param now: seconds on the monotonic clock.
+    :returns: the load by this router and its live peers.
     """
     own = loads.own.get_load(server)
     peers = loads.peers.get_load(server, now)
--- a/tests/unit/test_load_sums.py
+++ b/tests/unit/test_load_sums.py
@@ -42,10 +42,10 @@
 def test_a_choice_among_servers_looks_at_each_router_once() -> None:
     for size in SIZES:
         loads = take_all(size)
-        loads._told = CountedTold(loads._told)
+        loads._received = CountedTold(loads._received)
         for server in range(SERVERS):
             loads.get_load(f'engine-{server}', 1)
-        assert loads._told.looks <= size, size
+        assert loads._received.looks <= size, size
 
 
 def test_requests_are_added_up_as_they_were_told() -> None:
--- a/tests/unit/test_long_prompts.py
+++ b/tests/unit/test_long_prompts.py
@@ -16,7 +16,7 @@
 from dykemast._internal.operations.server_choice import (
     EngineOption,
     choose_cheapest,
-    cost_engine,
+    compute_engine_cost,
 )
 
 #: How many times slower than the fastest each is.
@@ -85,23 +85,23 @@
         self.weighs_pauses = weighs_pauses
         self.late_prompts: list[bool] = []
 
-    def choose(self, missing: int, now: float) -> Engine:
-        options = [self.weigh(engine, missing, now) for engine in self.engines]
-        name = choose_cheapest(options, cost_engine, float)
+    def choose(self, uncached: int, now: float) -> Engine:
+        options = [self.weigh(engine, uncached, now) for engine in self.engines]
+        name = choose_cheapest(options, compute_engine_cost, float)
         return next(one for one in self.engines if one.name == name)
 
-    def weigh(self, engine: Engine, missing: int, now: float) -> EngineOption:
+    def weigh(self, engine: Engine, uncached: int, now: float) -> EngineOption:
         risk = self.pauses.estimate_risk(engine.name, now)
         return EngineOption(
             server=engine.name,
             running=len(engine.list_running(now)),
             slots=64,
             unread=engine.count_unread(now),
-            missing=missing,
-            missing_shared=0,
+            uncached=uncached,
+            uncached_shared=0,
             tokens_per_event=STEPS_PER_EVENT,
             pause_risk=risk if self.weighs_pauses else 0,
-            trust=1,
+            health=1,
         )
 
     def send_stream(self, now: float) -> None:
@@ -152,22 +152,22 @@
         running=10,
         slots=64,
         unread=0,
-        missing=LONG_MISSING,
-        missing_shared=0,
+        uncached=LONG_MISSING,
+        uncached_shared=0,
         tokens_per_event=STEPS_PER_EVENT,
         pause_risk=0,
-        trust=1,
+        health=1,
     )
 
 
 def test_how_long_a_prompt_harms_depends_on_what_an_event_holds() -> None:
     # Two steps are held up by 4,000 tokens. An event of three has one left; an
     # event of one is late whatever else its engine does.
-    slow = make_option('slow')._replace(missing=4000, pause_risk=0.5)
-    fast = make_option('fast')._replace(missing=4000, unread=500)
-    assert choose_cheapest([slow, fast], cost_engine, float) == 'slow'
+    slow = make_option('slow')._replace(uncached=4000, pause_risk=0.5)
+    fast = make_option('fast')._replace(uncached=4000, unread=500)
+    assert choose_cheapest([slow, fast], compute_engine_cost, float) == 'slow'
     single = [one._replace(tokens_per_event=1) for one in (slow, fast)]
-    assert choose_cheapest(single, cost_engine, float) == 'fast'
+    assert choose_cheapest(single, compute_engine_cost, float) == 'fast'
 
 
 def test_prompts_go_to_a_slow_engine_rather_than_be_late() -> None:
@@ -175,10 +175,13 @@
         return make_option(name)._replace(**fields)
 
     slow = weigh('slow', pause_risk=0.5)
-    assert choose_cheapest([slow, weigh('fast')], cost_engine, float) == 'fast'
+    assert (
+        choose_cheapest([slow, weigh('fast')], compute_engine_cost, float)
+        == 'fast'
+    )
     full = weigh('fast', unread=40_000)
-    assert choose_cheapest([slow, full], cost_engine, float) == 'slow'
+    assert choose_cheapest([slow, full], compute_engine_cost, float) == 'slow'
     # With no streams beside it there is nobody to make late.
     alone = weigh('slow', pause_risk=0.5, running=0)
     fast = weigh('fast', unread=1000)
-    assert choose_cheapest([alone, fast], cost_engine, float) == 'slow'
+    assert choose_cheapest([alone, fast], compute_engine_cost, float) == 'slow'
--- a/tests/unit/test_send_checks.py
+++ b/tests/unit/test_send_checks.py
@@ -126,7 +126,7 @@
 def test_rests_that_are_over_are_forgotten() -> None:
     board = make_one()
     answer(board, rest=REST)
-    board.backpressure.forget((), read_clock())
+    board.backpressure.expire((), read_clock())
     assert board.backpressure.backoff_until
-    board.backpressure.forget((), read_clock() + 2 * REST)
+    board.backpressure.expire((), read_clock() + 2 * REST)
     assert not board.backpressure.backoff_until
--- a/tests/unit/test_serving_rules.py
+++ b/tests/unit/test_serving_rules.py
@@ -11,8 +11,8 @@
     EngineOption,
     ServiceOption,
     choose_cheapest,
-    cost_engine,
-    cost_plain,
+    compute_engine_cost,
+    compute_plain_cost,
 )
 from dykemast._internal.operations.server_health import ServerHealth
 from dykemast._internal.serving.relay.event_parser import (
@@ -54,11 +54,11 @@
 
 
 def choose_engine(options: list[EngineOption]) -> str | None:
-    return choose_cheapest(options, cost_engine, float)
+    return choose_cheapest(options, compute_engine_cost, float)
 
 
 def choose_plain(options: list[ServiceOption]) -> str | None:
-    return choose_cheapest(options, cost_plain, float)
+    return choose_cheapest(options, compute_plain_cost, float)
 
 
 def make_engine(name: str, **fields) -> EngineOption:
@@ -68,11 +68,11 @@
             'running': 0,
             'slots': 8,
             'unread': 0,
-            'missing': 1000,
-            'missing_shared': 0,
+            'uncached': 1000,
+            'uncached_shared': 0,
             'tokens_per_event': 3,
             'pause_risk': 0,
-            'trust': 1,
+            'health': 1,
             **fields,
         }
     )
@@ -80,23 +80,25 @@
 
 def test_an_engine_that_keeps_the_prompt_is_chosen_unless_it_is_busy() -> None:
     fresh = make_engine('fresh')
-    assert choose_engine([fresh, make_engine('keeps', missing=10)]) == ('keeps')
-    busy = make_engine('keeps', missing=10, unread=5000)
+    assert choose_engine([fresh, make_engine('keeps', uncached=10)]) == (
+        'keeps'
+    )
+    busy = make_engine('keeps', uncached=10, unread=5000)
     assert choose_engine([fresh, busy]) == 'fresh'
-    full = make_engine('keeps', missing=10, running=8)
+    full = make_engine('keeps', uncached=10, running=8)
     assert choose_engine([fresh, full]) == 'fresh'
     assert choose_engine([]) is None
 
 
 def test_shared_parts_are_read_at_few_engines() -> None:
-    keeps = make_engine('keeps', missing=0, unread=1500)
-    idle = make_engine('idle', missing=1000, missing_shared=1000)
+    keeps = make_engine('keeps', uncached=0, unread=1500)
+    idle = make_engine('idle', uncached=1000, uncached_shared=1000)
     assert choose_engine([idle, keeps]) == 'keeps'
 
 
 def test_a_plain_server_that_fails_is_left_alone() -> None:
-    good = ServiceOption('good', 3, 6, near=False, trust=1)
-    grey = ServiceOption('grey', 0, 6, near=True, trust=0.1)
+    good = ServiceOption('good', 3, 6, same_hall=False, health=1)
+    grey = ServiceOption('grey', 0, 6, same_hall=True, health=0.1)
     assert choose_plain([good, grey]) == 'good'
 
 
--- a/tools/fleet_mutations.py
+++ b/tools/fleet_mutations.py
@@ -86,7 +86,7 @@
         'let relayed loads replace newer ones',
         'loads are as old as they are',
         f'{_INTERNAL}/operations/peer_loads.py',
-        'if known is None or known.at < now:',
+        'if known is None or known.received_at < now:',
         'if True:',
         'test_large_fleet',
     ),
--- a/tools/hall_mutations.py
+++ b/tools/hall_mutations.py
@@ -54,8 +54,8 @@
         'write a request without a last check',
         'what a server asks for holds until the bytes go out',
         f'{_INTERNAL}/serving/sending/upstream_session.py',
-        'before_bytes.get()()',
-        'before_bytes.get()',
+        'pre_send_check.get()()',
+        'pre_send_check.get()',
         'test_upstreams',
     ),
     Mutation(
@@ -78,8 +78,8 @@
         'keep to a limit without regard to other routers',
         'a server gets no more than its limit',
         f'{_INTERNAL}/operations/shared_rate_limiter.py',
-        'math.inf if share.behind > 0 and',
-        'math.inf if share.behind < 0 and',
+        'math.inf if share.standby_rank > 0 and',
+        'math.inf if share.standby_rank < 0 and',
         'test_limit_fuzz',
     ),
     Mutation(
