--- a/src/dykemast/_internal/operations/absent_servers.py
+++ b/src/dykemast/_internal/operations/absent_servers.py
@@ -26,13 +26,13 @@
         known = self._until.get(server, 0)
         self._until[server] = max(known, now + seconds)
 
-    def merge(self, told: Iterable[AbsentServer], now: float) -> None:
+    def merge(self, reported: Iterable[AbsentServer], now: float) -> None:
         """Merge the absent servers that a peer reported.
 
-        :param told: servers, each with the remaining seconds.
+        :param reported: servers, each with the remaining seconds.
         :param now: seconds on the monotonic clock.
         """
-        for one in told:
+        for one in reported:
             self.record(one.server, now, one.seconds)
 
     def export(self, now: float) -> tuple[AbsentServer, ...]:
--- a/src/dykemast/_internal/operations/server_health.py
+++ b/src/dykemast/_internal/operations/server_health.py
@@ -43,8 +43,8 @@
         record = self._records.get(server)
         if record is None:
             return 1
-        kept = math.exp((record.at - now) / DECAY_TIME_S)
-        return 1 - record.failed * kept
+        remaining = math.exp((record.at - now) / DECAY_TIME_S)
+        return 1 - record.failed * remaining
 
     def keep_only(self, servers: Collection[str]) -> None:
         """Drop servers that are not listed any more.
--- a/src/dykemast/_internal/serving/sending/__init__.py
+++ b/src/dykemast/_internal/serving/sending/__init__.py
@@ -1,5 +1,5 @@
 """One request to one backend server.
 
-Input: an admitted request, its body and a server. Output: the response to this
+In: an admitted request, its body and a server. Out: the response to this
 request, or an error that says whether the request may have run.
 """
--- a/src/dykemast/_internal/serving/sending/send_checks.py
+++ b/src/dykemast/_internal/serving/sending/send_checks.py
@@ -14,14 +14,14 @@
 
 def compute_wait(
     board: ServingBoard,
-    turns: SharedRateLimiter,
+    limiter: SharedRateLimiter,
     server: BackendServer,
     cold_rate: float,
 ) -> float:
     """Compute the time until this router may send to a server.
 
     :param board: the blackboard.
-    :param turns: limiter for servers with a rate limit.
+    :param limiter: limiter for servers with a rate limit.
     :param server: the server.
     :param cold_rate: limit in requests per second while the server is cold; 0
         for no limit.
@@ -45,7 +45,7 @@
     routers = frozenset((board.settings.name, *board.peers))
     return max(
         backoff,
-        turns.compute_wait(name, routers, limit.rate, now, limit.answered_at),
+        limiter.compute_wait(name, routers, limit.rate, now, limit.answered_at),
     )
 
 
--- a/tests/lib/limit_world.py
+++ b/tests/lib/limit_world.py
@@ -7,14 +7,14 @@
 #: Seconds after a limit was first sent from which it is checked, length of the
 #: window in which requests are counted, and seconds within which a router has
 #: to know a limit.
-CONTACT_TIME = 3.0
-WINDOW = 4.0
-KNOW_TIME = 0.5
+SETTLING_TIME_S = 3.0
+WINDOW_S = 4.0
+LEARNING_TIME_S = 0.5
 #: Allowed excess over a limit, as a factor and as a number of requests.
 OVERSHOOT = 1.5
 SLACK = 5
 #: Requests that a router without a limit sends at the same time.
-CROWD = 3
+BURST_REQUESTS = 3
 
 
 class Router:
@@ -23,7 +23,7 @@
     def __init__(self, name: str, started_at: float) -> None:
         self.name = name
         self.limits = ServerLimits()
-        self.turns = SharedRateLimiter(name, started_at)
+        self.limiter = SharedRateLimiter(name, started_at)
         self.answered_at: float | None = None
 
 
@@ -42,10 +42,10 @@
     def find(self, number: int) -> Router:
         return self.routers[number % len(self.routers)]
 
-    def ask(self, number: int) -> None:
+    def send_burst(self, number: int) -> None:
         """Have one router send as much as it may."""
         router = self.find(number)
-        for _ in range(CROWD):
+        for _ in range(BURST_REQUESTS):
             if self.compute_wait(router):
                 return
             self.send(router)
@@ -54,7 +54,7 @@
         known = router.limits.find(SERVER)
         if known is None:
             return 0
-        return router.turns.compute_wait(
+        return router.limiter.compute_wait(
             SERVER,
             self.views[router.name],
             known.rate,
@@ -63,17 +63,17 @@
         )
 
     def send(self, router: Router) -> None:
-        router.turns.record_sent(SERVER, self.now)
+        router.limiter.record_sent(SERVER, self.now)
         knows = router.answered_at is not None
-        if knows and self.now - router.answered_at >= KNOW_TIME:
+        if knows and self.now - router.answered_at >= LEARNING_TIME_S:
             self.counted.append(self.now)
         router.limits.record(SERVER, self.limit or NO_LIMIT, self.now)
         if self.limit and not knows:
             router.answered_at = self.now
 
-    def gossip(self, teller: int, hearer: int) -> None:
-        told = self.find(teller).limits.export(self.now)
-        self.find(hearer).limits.merge(told, self.now)
+    def gossip(self, sender: int, receiver: int) -> None:
+        exported = self.find(sender).limits.export(self.now)
+        self.find(receiver).limits.merge(exported, self.now)
 
     def name_limit(self, limit: float) -> None:
         """Set, change or end the limit of the server."""
@@ -84,7 +84,7 @@
             router.answered_at = None
 
 
-def start_again(fleet: LimitedFleet, number: int) -> None:
+def restart(fleet: LimitedFleet, number: int) -> None:
     """Restart one router with empty state."""
     at = number % len(fleet.routers)
     fleet.routers[at] = Router(fleet.routers[at].name, fleet.now)
@@ -92,9 +92,12 @@
 
 def count_busiest(fleet: LimitedFleet) -> int:
     """Count the requests of the busiest window."""
-    since = fleet.named_at + CONTACT_TIME
+    since = fleet.named_at + SETTLING_TIME_S
     times = [at for at in fleet.counted if at >= since]
     return max(
-        (sum(begin <= at < begin + WINDOW for at in times) for begin in times),
+        (
+            sum(begin <= at < begin + WINDOW_S for at in times)
+            for begin in times
+        ),
         default=0,
     )
--- a/tests/unit/test_choice_cost.py
+++ b/tests/unit/test_choice_cost.py
@@ -31,10 +31,10 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked = 0
+        self.calls = 0
 
     def estimate_risk(self, engine: str, now: float) -> float:
-        self.asked += 1
+        self.calls += 1
         return super().estimate_risk(engine, now)
 
 
@@ -64,19 +64,19 @@
     )
 
 
-def count_asked(tokens: int) -> int:
+def count_calls(tokens: int) -> int:
     pauses = CountedPauses()
     board = make_board()
     for number in range(ENGINES):
         add_server(board, make_engine(number))
     parts = make_parts(board, None, make_loads()._replace(pauses=pauses))
     assert choose_server(parts, make_ticket(tokens), [])
-    return pauses.asked
+    return pauses.calls
 
 
 def test_pauses_are_added_up_only_where_a_prompt_may_make_streams_late() -> (
     None
 ):
     # With 8 tokens per event, seven chunks of 2,048 tokens delay no event.
-    assert count_asked(tokens=6610) == 0
-    assert count_asked(tokens=15_000) == ENGINES
+    assert count_calls(tokens=6610) == 0
+    assert count_calls(tokens=15_000) == ENGINES
--- a/tests/unit/test_cold_fuzz.py
+++ b/tests/unit/test_cold_fuzz.py
@@ -23,7 +23,7 @@
 SLACK = 5
 #: Limit of a cold server in requests per second, and seconds that it is cold.
 RATE = 9.9
-COLD_TIME = 3.0
+COLD_TIME_S = 3.0
 NUMBERS = st.integers(0, 299)
 #: Peers that a router may not know yet, as a part of the fleet and at most.
 UNKNOWN_SHARE = 0.1
@@ -44,7 +44,7 @@
             name: SharedRateLimiter(name, -1e9) for name in self.names
         }
 
-    def ask(self, number: int) -> None:
+    def send_burst(self, number: int) -> None:
         """Have one router send as much as it may."""
         name = self.names[number % len(self.names)]
         router = self.routers[name]
@@ -57,10 +57,10 @@
             router.record_sent(SERVER, self.now)
             self.sent.append(self.now)
 
-    def ask_all(self) -> None:
+    def send_bursts(self) -> None:
         """Have all routers send as much as they may."""
         for number, _ in enumerate(self.names):
-            self.ask(number)
+            self.send_burst(number)
 
     def count_busiest(self) -> int:
         return max(
@@ -91,15 +91,15 @@
         self.fleet.now += seconds
 
     @rule(number=NUMBERS)
-    def ask(self, number) -> None:
-        self.fleet.ask(number)
+    def send_burst(self, number) -> None:
+        self.fleet.send_burst(number)
 
     @rule()
-    def crowd(self) -> None:
-        self.fleet.ask_all()
+    def burst_all(self) -> None:
+        self.fleet.send_bursts()
 
     @rule(number=NUMBERS)
-    def start_again(self, number) -> None:
+    def restart(self, number) -> None:
         fleet = self.fleet
         name = fleet.names[number % len(fleet.names)]
         fleet.routers[name] = SharedRateLimiter(name, fleet.now)
@@ -123,18 +123,18 @@
 ColdCase = ColdMachine.TestCase
 
 
-def play_crowd(fleet: ColdFleet) -> None:
+def simulate_bursts(fleet: ColdFleet) -> None:
     """Have all routers send continuously while the server is cold."""
-    while fleet.now < COLD_TIME:
-        fleet.ask_all()
+    while fleet.now < COLD_TIME_S:
+        fleet.send_bursts()
         fleet.now += 0.01
 
 
 def test_most_of_the_rate_is_used_in_fleets_of_any_size() -> None:
     for count in (1, 3, 6, 9, 17, 87, 300):
         fleet = ColdFleet(count, RATE)
-        play_crowd(fleet)
-        assert len(fleet.sent) > 0.8 * RATE * COLD_TIME, count
+        simulate_bursts(fleet)
+        assert len(fleet.sent) > 0.8 * RATE * COLD_TIME_S, count
         # With equal lists of routers, the rate limit is kept exactly.
         assert fleet.count_busiest() <= RATE, count
 
@@ -143,18 +143,18 @@
     # If each of 87 routers sent every 87 / RATE seconds, the first requests
     # after a pause could all be sent at the same time.
     first_turns = [number / RATE for number in range(87)]
-    at_once = sum(turn <= COLD_TIME for turn in first_turns)
+    at_once = sum(turn <= COLD_TIME_S for turn in first_turns)
     assert at_once > OVERSHOOT * RATE + SLACK
     fleet = ColdFleet(87, RATE)
-    fleet.now = COLD_TIME
-    fleet.ask_all()
+    fleet.now = COLD_TIME_S
+    fleet.send_bursts()
     assert len(fleet.sent) <= RATE
 
 
 def test_a_router_that_starts_counts_what_it_may_have_sent_before() -> None:
     fleet = ColdFleet(1, RATE)
-    fleet.ask(0)
+    fleet.send_burst(0)
     fleet.routers['node-0'] = SharedRateLimiter('node-0', 0.05)
     fleet.now = 0.1
-    fleet.ask(0)
+    fleet.send_burst(0)
     assert len(fleet.sent) == 1
--- a/tests/unit/test_limit_fuzz.py
+++ b/tests/unit/test_limit_fuzz.py
@@ -19,10 +19,10 @@
 from tests.lib.limit_world import (
     OVERSHOOT,
     SLACK,
-    WINDOW,
+    WINDOW_S,
     LimitedFleet,
     count_busiest,
-    start_again,
+    restart,
 )
 
 NUMBERS = st.integers(0, 299)
@@ -48,25 +48,25 @@
         self.fleet.now += seconds
 
     @rule(number=NUMBERS)
-    def ask(self, number) -> None:
-        self.fleet.ask(number)
+    def send_burst(self, number) -> None:
+        self.fleet.send_burst(number)
 
     @rule()
-    def crowd(self) -> None:
+    def send_bursts(self) -> None:
         for number, _ in enumerate(self.fleet.routers):
-            self.fleet.ask(number)
+            self.fleet.send_burst(number)
 
-    @rule(teller=NUMBERS, hearer=NUMBERS)
-    def gossip(self, teller, hearer) -> None:
-        self.fleet.gossip(teller, hearer)
+    @rule(sender=NUMBERS, receiver=NUMBERS)
+    def gossip(self, sender, receiver) -> None:
+        self.fleet.gossip(sender, receiver)
 
     @rule(limit=st.sampled_from((*LIMITS, NO_LIMIT)))
     def name_limit(self, limit) -> None:
         self.fleet.name_limit(limit)
 
     @rule(number=NUMBERS)
-    def start_again(self, number) -> None:
-        start_again(self.fleet, number)
+    def restart(self, number) -> None:
+        restart(self.fleet, number)
 
     @rule(number=NUMBERS, unknown=NUMBERS)
     def forget(self, number, unknown) -> None:
@@ -81,22 +81,22 @@
     def no_window_has_too_much(self) -> None:
         fleet = self.fleet
         if fleet.limit:
-            most = OVERSHOOT * fleet.limit * WINDOW + SLACK
+            most = OVERSHOOT * fleet.limit * WINDOW_S + SLACK
             assert count_busiest(fleet) <= most
 
 
 LimitCase = LimitMachine.TestCase
 
 
-def play(fleet: LimitedFleet, seconds: float, *, heard: bool) -> int:
+def simulate(fleet: LimitedFleet, seconds: float, *, gossiping: bool) -> int:
     """Have all routers send continuously; count the requests."""
     draw = random.Random(7)
     until = fleet.now + seconds
     begun = len(fleet.counted)
     while fleet.now < until:
         for number, _ in enumerate(fleet.routers):
-            fleet.ask(number)
-            if heard:
+            fleet.send_burst(number)
+            if gossiping:
                 fleet.gossip(draw.randrange(300), number)
         fleet.now += 0.05
     return len(fleet.counted) - begun
@@ -106,8 +106,8 @@
     for count in (1, 6, 87, 300):
         for limit in LIMITS:
             fleet = LimitedFleet(count, limit)
-            play(fleet, 12, heard=False)
-            most = OVERSHOOT * limit * WINDOW + SLACK
+            simulate(fleet, 12, gossiping=False)
+            most = OVERSHOOT * limit * WINDOW_S + SLACK
             assert count_busiest(fleet) <= most, (count, limit)
 
 
@@ -115,30 +115,33 @@
     for count in (1, 6, 87, 300):
         for limit in LIMITS:
             fleet = LimitedFleet(count, limit)
-            play(fleet, 4, heard=True)
-            assert play(fleet, 20, heard=True) >= 10 * limit, (count, limit)
+            simulate(fleet, 4, gossiping=True)
+            assert simulate(fleet, 20, gossiping=True) >= 10 * limit, (
+                count,
+                limit,
+            )
 
 
 def test_the_end_of_a_limit_reaches_all_routers() -> None:
     fleet = LimitedFleet(6, 1.8)
-    play(fleet, 4, heard=True)
+    simulate(fleet, 4, gossiping=True)
     fleet.name_limit(NO_LIMIT)
-    play(fleet, 2, heard=True)
+    simulate(fleet, 2, gossiping=True)
     assert not any(map(fleet.compute_wait, fleet.routers))
 
 
 def test_routers_without_a_share_wait_indefinitely() -> None:
     fleet = LimitedFleet(6, 1.8)
-    play(fleet, 4, heard=True)
+    simulate(fleet, 4, gossiping=True)
     waits = [fleet.compute_wait(router) for router in fleet.routers]
     assert sum(map(math.isinf, waits)) == 5
 
 
 def test_the_next_router_in_rank_probes_if_chosen_ones_are_gone() -> None:
     fleet = LimitedFleet(6, 1.8)
-    play(fleet, 4, heard=True)
+    simulate(fleet, 4, gossiping=True)
     first = min(fleet.routers, key=fleet.compute_wait)
     fleet.routers.remove(first)
     fleet.name_limit(NO_LIMIT)
-    play(fleet, 8, heard=True)
+    simulate(fleet, 8, gossiping=True)
     assert not any(map(fleet.compute_wait, fleet.routers))
--- a/tests/unit/test_long_prompts.py
+++ b/tests/unit/test_long_prompts.py
@@ -22,19 +22,19 @@
 #: Duration of a step at each engine, relative to the fastest.
 SPEEDS = (1, 1, 1.3, 1, 1, 1.3)
 STREAM_EVERY = 0.035
-STREAM_TIME = 2.5
+STREAM_TIME_S = 2.5
 STREAM_PROMPT = 600
 LONG_EVERY = 0.12
-LONG_MISSING = 5000
-PIECE = 2048
+LONG_UNCACHED = 5000
+CHUNK_TOKENS = 2048
 #: Seconds of a step that prefills one chunk, at the fast engines.
-STEP = 0.076
+STEP_S = 0.076
 STEPS_PER_EVENT = 3
 #: Seconds between two events without prefill.
-USUAL_PAUSE = 0.01
-OBJECTIVE = 0.3
+USUAL_PAUSE_S = 0.01
+OBJECTIVE_S = 0.3
 #: Seconds within which the first event after a long prompt is due.
-FIRST_OBJECTIVE = 1.0
+FIRST_OBJECTIVE_S = 1.0
 
 
 class Outcome(NamedTuple):
@@ -55,10 +55,10 @@
 class Engine:
     """Work of one engine."""
 
-    def __init__(self, name: str, slower: float) -> None:
+    def __init__(self, name: str, slowdown: float) -> None:
         self.name = name
         #: Seconds of a step that prefills one chunk.
-        self.step = STEP * slower
+        self.step = STEP_S * slowdown
         self.free_at = float()
         self.streams: list[Stream] = []
 
@@ -67,16 +67,16 @@
 
     def count_unread(self, now: float) -> int:
         busy = max(0, self.free_at - now)
-        return int(busy / self.step * PIECE)
+        return int(busy / self.step * CHUNK_TOKENS)
 
-    def read(self, tokens: int, now: float) -> float:
+    def prefill(self, tokens: int, now: float) -> float:
         """Prefill a prompt; return the time of its first event."""
-        took = tokens / PIECE * self.step
+        took = tokens / CHUNK_TOKENS * self.step
         self.free_at = max(now, self.free_at) + took
         return self.free_at
 
 
-class Play:
+class Simulation:
     """Simulation of a load under the cost function."""
 
     def __init__(self, *, weighs_pauses: bool) -> None:
@@ -106,17 +106,17 @@
 
     def send_stream(self, now: float) -> None:
         engine = self.choose(STREAM_PROMPT, now)
-        engine.read(STREAM_PROMPT, now)
-        engine.streams.append(Stream(now + STREAM_TIME))
+        engine.prefill(STREAM_PROMPT, now)
+        engine.streams.append(Stream(now + STREAM_TIME_S))
 
     def send_long(self, now: float) -> None:
-        engine = self.choose(LONG_MISSING, now)
-        first = engine.read(LONG_MISSING, now)
-        self.late_prompts.append(first - now > FIRST_OBJECTIVE)
-        pause = STEPS_PER_EVENT * engine.step + USUAL_PAUSE
+        engine = self.choose(LONG_UNCACHED, now)
+        first = engine.prefill(LONG_UNCACHED, now)
+        self.late_prompts.append(first - now > FIRST_OBJECTIVE_S)
+        pause = STEPS_PER_EVENT * engine.step + USUAL_PAUSE_S
         for stream in engine.list_running(now):
-            self.pauses.record(engine.name, pause, OBJECTIVE, now)
-            stream.late = stream.late or pause > OBJECTIVE
+            self.pauses.record(engine.name, pause, OBJECTIVE_S, now)
+            stream.late = stream.late or pause > OBJECTIVE_S
 
     def measure(self) -> Outcome:
         streams = [one.late for each in self.engines for one in each.streams]
@@ -125,19 +125,23 @@
         )
 
 
-def play(*, weighs_pauses: bool) -> Outcome:
+def simulate(*, weighs_pauses: bool) -> Outcome:
     """Simulate the load; return the late shares."""
-    played = Play(weighs_pauses=weighs_pauses)
-    moments = [(turn * STREAM_EVERY, played.send_stream) for turn in range(570)]
-    moments += [(turn * LONG_EVERY, played.send_long) for turn in range(166)]
+    simulation = Simulation(weighs_pauses=weighs_pauses)
+    moments = [
+        (turn * STREAM_EVERY, simulation.send_stream) for turn in range(570)
+    ]
+    moments += [
+        (turn * LONG_EVERY, simulation.send_long) for turn in range(166)
+    ]
     for at, send in sorted(moments, key=operator.itemgetter(0)):
         send(at)
-    return played.measure()
+    return simulation.measure()
 
 
 def test_long_prompts_avoid_engines_where_they_delay_streams() -> None:
-    before = play(weighs_pauses=False)
-    after = play(weighs_pauses=True)
+    before = simulate(weighs_pauses=False)
+    after = simulate(weighs_pauses=True)
     # The load delays streams if the risk is ignored.
     assert before.streams > 1 / 5
     assert after.streams < before.streams / 2
@@ -152,7 +156,7 @@
         running=10,
         slots=64,
         unread=0,
-        uncached=LONG_MISSING,
+        uncached=LONG_UNCACHED,
         uncached_shared=0,
         tokens_per_event=STEPS_PER_EVENT,
         pause_risk=0,
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -21,11 +21,10 @@
 
 def choose(workers: list[Candidate], prefix: int) -> list[str]:
     """Choose 200 times; return the names of the first choices."""
-    chance = random.Random(1)
+    rng = random.Random(1)
     ranking = RankingContext('north', prefix, 1)
     return [
-        rank_workers(workers, ranking, chance)[0].instance.name
-        for _ in range(200)
+        rank_workers(workers, ranking, rng)[0].instance.name for _ in range(200)
     ]
 
 
--- a/tests/unit/test_send_checks.py
+++ b/tests/unit/test_send_checks.py
@@ -28,7 +28,7 @@
     slots=6,
     leaving=False,
 )
-TURNED_AWAY: Final = ResponseHead(
+UNAVAILABLE: Final = ResponseHead(
     status=503,
     request_id='r-1',
     signed=False,
@@ -49,14 +49,14 @@
     return board
 
 
-def answer(board: ServingBoard, **backpressure: float) -> None:
+def respond(board: ServingBoard, **backpressure: float) -> None:
     asked = Backpressure(**backpressure)
-    record_backpressure(board, SERVER, TURNED_AWAY._replace(backpressure=asked))
+    record_backpressure(board, SERVER, UNAVAILABLE._replace(backpressure=asked))
 
 
-def measure(board: ServingBoard) -> float:
-    turns = SharedRateLimiter(board.settings.name, read_clock())
-    return compute_wait(board, turns, SERVER, 0)
+def get_wait(board: ServingBoard) -> float:
+    limiter = SharedRateLimiter(board.settings.name, read_clock())
+    return compute_wait(board, limiter, SERVER, 0)
 
 
 def is_held_back(board: ServingBoard, made_at: float) -> bool:
@@ -72,33 +72,33 @@
 
 def test_a_server_without_backpressure_may_get_a_request() -> None:
     board = make_one()
-    answer(board)
-    assert not measure(board)
+    respond(board)
+    assert not get_wait(board)
     assert not is_held_back(board, read_clock())
 
 
 def test_a_backoff_is_not_shortened_by_the_next_one() -> None:
     board = make_one()
-    answer(board, rest=REST)
-    answer(board, rest=0.5)
-    assert measure(board) > REST - 1
-    answer(board, rest=2 * REST)
-    assert measure(board) > 2 * REST - 1
+    respond(board, rest=REST)
+    respond(board, rest=0.5)
+    assert get_wait(board) > REST - 1
+    respond(board, rest=2 * REST)
+    assert get_wait(board) > 2 * REST - 1
 
 
 def test_a_response_without_backoff_ends_none() -> None:
     board = make_one()
-    answer(board, rest=REST)
-    answer(board)
-    assert measure(board) > REST - 1
+    respond(board, rest=REST)
+    respond(board)
+    assert get_wait(board) > REST - 1
 
 
 def test_the_longer_of_backoff_and_limit_applies() -> None:
     board = make_one()
-    answer(board, limit=LIMIT, rest=0.5)
-    assert measure(board) > 1 / LIMIT - 1
-    answer(board, rest=REST)
-    assert measure(board) > REST - 1
+    respond(board, limit=LIMIT, rest=0.5)
+    assert get_wait(board) > 1 / LIMIT - 1
+    respond(board, rest=REST)
+    assert get_wait(board) > REST - 1
 
 
 def test_a_request_is_held_back_by_backpressure_after_the_choice() -> None:
@@ -106,26 +106,26 @@
         board = make_one()
         made_at = read_clock()
         assert not is_held_back(board, made_at)
-        answer(board, **backpressure)
+        respond(board, **backpressure)
         assert is_held_back(board, made_at), backpressure
 
 
 def test_a_request_that_was_chosen_under_a_limit_is_sent() -> None:
     board = make_one()
-    answer(board, limit=LIMIT)
+    respond(board, limit=LIMIT)
     assert not is_held_back(board, read_clock())
 
 
 def test_a_refusal_that_names_no_limit_ends_none() -> None:
     board = make_one()
-    answer(board, limit=LIMIT)
-    answer(board)
-    assert measure(board)
+    respond(board, limit=LIMIT)
+    respond(board)
+    assert get_wait(board)
 
 
 def test_backoffs_that_are_over_are_dropped() -> None:
     board = make_one()
-    answer(board, rest=REST)
+    respond(board, rest=REST)
     board.backpressure.expire((), read_clock())
     assert board.backpressure.backoff_until
     board.backpressure.expire((), read_clock() + 2 * REST)
--- a/tests/unit/test_upstreams.py
+++ b/tests/unit/test_upstreams.py
@@ -16,7 +16,7 @@
 HOST = '127.0.0.1'
 REQUEST_ID = 'r-1'
 TIMEOUT_S = 5.0
-ANSWER = (
+RESPONSE = (
     b'HTTP/1.1 200 OK\r\nX-Attempt-Id: r-1\r\nX-Response-Seal: s\r\n'
     b'Server-Leaving: 1\r\nContent-Length: 0\r\n\r\n'
 )
@@ -33,7 +33,7 @@
         self.connections += 1
         self.read += await reader.read(65536)
         if self.read:
-            writer.write(ANSWER)
+            writer.write(RESPONSE)
             await writer.drain()
         writer.close()
 
@@ -94,8 +94,8 @@
 
     async with listen() as (listener, sending):
         upstreams = Upstreams(lambda made: None, note_head)
-        async with upstreams.send(sending) as answer:
-            assert answer.head.signed
+        async with upstreams.send(sending) as response:
+            assert response.head.signed
         await upstreams.close()
     assert b'x-expect-instance: i-1' in listener.read.lower()
     assert noted['i-1'].backpressure.leaving
