--- a/tests/unit/test_choice_cost.py
+++ b/tests/unit/test_choice_cost.py
@@ -1,8 +1,8 @@
-"""What the choice of an engine takes.
+"""Processor time of the choice of an engine.
 
-A choice among 45 engines added up, for each, the pauses that 86 other routers
-had told of: 1.8 ms of processor, in 2 to 7 ms that a request takes in all. It
-matters only where a prompt may make streams late: 0.5 ms after.
+Estimating the pause risk of each engine adds up the counts of all routers.
+Among 45 engines with 86 peers that took 1.8 ms of the 2 to 7 ms that a request
+takes, and 0.5 ms once it is skipped for prompts that cannot delay streams.
 """
 
 from dykemast._internal.models.backend import BackendServer
@@ -27,14 +27,14 @@
 
 
 class CountedPauses(EnginePauses):
-    """Counts how often it is asked."""
+    """Counts the calls of ``estimate_risk``."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked = 0
+        self.calls = 0
 
     def estimate_risk(self, engine: str, now: float) -> float:
-        self.asked += 1
+        self.calls += 1
         return super().estimate_risk(engine, now)
 
 
@@ -64,19 +64,19 @@
     )
 
 
-def count_asked(tokens: int) -> int:
+def count_calls(tokens: int) -> int:
     pauses = CountedPauses()
     board = make_board()
     for number in range(ENGINES):
         add_server(board, make_engine(number))
     parts = make_parts(board, None, make_loads()._replace(pauses=pauses))
     assert choose_server(parts, make_ticket(tokens), [])
-    return pauses.asked
+    return pauses.calls
 
 
 def test_pauses_are_added_up_only_where_a_prompt_may_make_streams_late() -> (
     None
 ):
-    # 8 tokens an event: seven pieces of 2,048 tokens delay none too long.
-    assert count_asked(tokens=6610) == 0
-    assert count_asked(tokens=15_000) == ENGINES
+    # With 8 tokens per event, seven chunks of 2,048 tokens delay no event.
+    assert count_calls(tokens=6610) == 0
+    assert count_calls(tokens=15_000) == ENGINES
--- a/tests/unit/test_limit_fuzz.py
+++ b/tests/unit/test_limit_fuzz.py
@@ -1,7 +1,7 @@
-"""Routers that hear each other or not keep to a server's limit together.
+"""All routers together keep to the rate limit that a server sends.
 
-Routers start again, know lists that differ, and a limit begins and ends; an
-oracle counts what reaches the server in each window.
+With and without gossip, routers restart and know different lists of routers
+while limits begin and end; an oracle counts the requests of each window.
 """
 
 import math
@@ -19,10 +19,10 @@
 from tests.lib.limit_world import (
     OVERSHOOT,
     SLACK,
-    WINDOW,
+    WINDOW_S,
     LimitedFleet,
     count_busiest,
-    start_again,
+    restart,
 )
 
 NUMBERS = st.integers(0, 299)
@@ -30,7 +30,7 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Crowds, news, restarts and unequal knowledge in any order."""
+    """Bursts, gossip, restarts and different lists of routers in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -48,29 +48,29 @@
         self.fleet.now += seconds
 
     @rule(number=NUMBERS)
-    def ask(self, number) -> None:
-        self.fleet.ask(number)
+    def send_burst(self, number) -> None:
+        self.fleet.send_burst(number)
 
     @rule()
-    def crowd(self) -> None:
+    def send_bursts(self) -> None:
         for number, _ in enumerate(self.fleet.routers):
-            self.fleet.ask(number)
+            self.fleet.send_burst(number)
 
-    @rule(teller=NUMBERS, hearer=NUMBERS)
-    def gossip(self, teller, hearer) -> None:
-        self.fleet.gossip(teller, hearer)
+    @rule(sender=NUMBERS, receiver=NUMBERS)
+    def gossip(self, sender, receiver) -> None:
+        self.fleet.gossip(sender, receiver)
 
     @rule(limit=st.sampled_from((*LIMITS, NO_LIMIT)))
     def name_limit(self, limit) -> None:
         self.fleet.name_limit(limit)
 
     @rule(number=NUMBERS)
-    def start_again(self, number) -> None:
-        start_again(self.fleet, number)
+    def restart(self, number) -> None:
+        restart(self.fleet, number)
 
     @rule(number=NUMBERS, unknown=NUMBERS)
     def forget(self, number, unknown) -> None:
-        """Have one router not know of another."""
+        """Remove one peer from the list of one router."""
         fleet = self.fleet
         name = fleet.find(number).name
         other = fleet.find(unknown).name
@@ -81,33 +81,33 @@
     def no_window_has_too_much(self) -> None:
         fleet = self.fleet
         if fleet.limit:
-            most = OVERSHOOT * fleet.limit * WINDOW + SLACK
+            most = OVERSHOOT * fleet.limit * WINDOW_S + SLACK
             assert count_busiest(fleet) <= most
 
 
 LimitCase = LimitMachine.TestCase
 
 
-def play(fleet: LimitedFleet, seconds: float, *, heard: bool) -> int:
-    """Have everybody ask all the time; tell how often it was served."""
+def simulate(fleet: LimitedFleet, seconds: float, *, gossiping: bool) -> int:
+    """Have all routers send continuously; count the requests."""
     draw = random.Random(7)
     until = fleet.now + seconds
     begun = len(fleet.counted)
     while fleet.now < until:
         for number, _ in enumerate(fleet.routers):
-            fleet.ask(number)
-            if heard:
+            fleet.send_burst(number)
+            if gossiping:
                 fleet.gossip(draw.randrange(300), number)
         fleet.now += 0.05
     return len(fleet.counted) - begun
 
 
-def test_a_crowd_at_routers_that_hear_nobody_keeps_to_the_limit() -> None:
+def test_routers_without_gossip_keep_to_the_limit() -> None:
     for count in (1, 6, 87, 300):
         for limit in LIMITS:
             fleet = LimitedFleet(count, limit)
-            play(fleet, 12, heard=False)
-            most = OVERSHOOT * limit * WINDOW + SLACK
+            simulate(fleet, 12, gossiping=False)
+            most = OVERSHOOT * limit * WINDOW_S + SLACK
             assert count_busiest(fleet) <= most, (count, limit)
 
 
@@ -115,30 +115,33 @@
     for count in (1, 6, 87, 300):
         for limit in LIMITS:
             fleet = LimitedFleet(count, limit)
-            play(fleet, 4, heard=True)
-            assert play(fleet, 20, heard=True) >= 10 * limit, (count, limit)
+            simulate(fleet, 4, gossiping=True)
+            assert simulate(fleet, 20, gossiping=True) >= 10 * limit, (
+                count,
+                limit,
+            )
 
 
-def test_no_router_keeps_to_a_limit_whose_end_one_was_told() -> None:
+def test_the_end_of_a_limit_reaches_all_routers() -> None:
     fleet = LimitedFleet(6, 1.8)
-    play(fleet, 4, heard=True)
+    simulate(fleet, 4, gossiping=True)
     fleet.name_limit(NO_LIMIT)
-    play(fleet, 2, heard=True)
+    simulate(fleet, 2, gossiping=True)
     assert not any(map(fleet.compute_wait, fleet.routers))
 
 
-def test_who_has_no_turn_does_not_know_when_it_will_have_one() -> None:
+def test_routers_without_a_share_wait_indefinitely() -> None:
     fleet = LimitedFleet(6, 1.8)
-    play(fleet, 4, heard=True)
+    simulate(fleet, 4, gossiping=True)
     waits = [fleet.compute_wait(router) for router in fleet.routers]
     assert sum(map(math.isinf, waits)) == 5
 
 
-def test_the_next_router_asks_where_those_whose_turn_it_is_are_gone() -> None:
+def test_the_next_router_in_rank_probes_if_chosen_ones_are_gone() -> None:
     fleet = LimitedFleet(6, 1.8)
-    play(fleet, 4, heard=True)
+    simulate(fleet, 4, gossiping=True)
     first = min(fleet.routers, key=fleet.compute_wait)
     fleet.routers.remove(first)
     fleet.name_limit(NO_LIMIT)
-    play(fleet, 8, heard=True)
+    simulate(fleet, 8, gossiping=True)
     assert not any(map(fleet.compute_wait, fleet.routers))
--- a/tests/unit/test_load_sums.py
+++ b/tests/unit/test_load_sums.py
@@ -1,10 +1,9 @@
-"""What all routers have at a server is added up once, not for each server.
+"""One choice adds up the reports of all routers once, not for each server.
 
-A choice weighs every server of its service, and for each it went through what
-all routers had told: 1.2 ms of processor for one choice among 61 engines with
-195 routers that each have requests at four of them, by the time of the
-function, and 0.2 ms with 30; 0.3 and 0.1 ms since. What is counted here is
-work: the routers that are looked at for one choice.
+A choice among 61 engines, with 195 routers that use four of them each, took
+1.2 ms of processor time when it read all reports for each engine (0.2 ms with
+30 routers), and 0.3 ms (0.1 ms) with cached sums. These tests count the reports
+that are read for one choice.
 """
 
 from collections.abc import Iterator
@@ -17,39 +16,39 @@
 SERVERS = 61
 
 
-class CountedTold(dict[str, Any]):
-    """What routers told, with a count of those looked at."""
+class CountedReports(dict[str, Any]):
+    """Reports by router that count how many of them are read."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        super().__init__(told)
-        self.looks = 0
+    def __init__(self, reports: dict[str, Any]) -> None:
+        super().__init__(reports)
+        self.reads = 0
 
     def values(self) -> Iterator[Any]:  # noqa: WPS110 -- as a dictionary has
-        for told in super().values():
-            self.looks += 1
-            yield told
+        for reports in super().values():
+            self.reads += 1
+            yield reports
 
 
-def take_all(size: int) -> peer_loads.PeerLoads:
-    """Take what each of some routers tells, evenly within a second."""
+def merge_all(size: int) -> peer_loads.PeerLoads:
+    """Merge one report of each router, evenly within a second."""
     loads = peer_loads.PeerLoads()
     for number in range(size):
-        told = (ServerLoad('engine-0', 1, number),)
-        loads.merge(f'node-{number}', told, number / size)
+        reports = (ServerLoad('engine-0', 1, number),)
+        loads.merge(f'node-{number}', reports, number / size)
     return loads
 
 
 def test_a_choice_among_servers_looks_at_each_router_once() -> None:
     for size in SIZES:
-        loads = take_all(size)
-        loads._told = CountedTold(loads._told)
+        loads = merge_all(size)
+        loads._received = CountedReports(loads._received)
         for server in range(SERVERS):
             loads.get_load(f'engine-{server}', 1)
-        assert loads._told.looks <= size, size
+        assert loads._received.reads <= size, size
 
 
 def test_requests_are_added_up_as_they_were_told() -> None:
-    loads = take_all(30)
+    loads = merge_all(30)
     assert loads.get_load('engine-0', 1) == ServerLoad('engine-0', 30, 435)
     assert loads.get_load('engine-1', 1) == ServerLoad('engine-1', 0, 0)
     loads.merge('node-0', (ServerLoad('engine-1', 5, 7),), 1)
@@ -58,7 +57,7 @@
 
 
 def test_what_is_too_old_is_not_added_up() -> None:
-    loads = take_all(30)
+    loads = merge_all(30)
     loads.merge('node-0', (ServerLoad('engine-1', 5, 7),), 1)
     later = 0.5 + peer_loads.MAX_PEER_LOAD_AGE_S
     assert loads.get_load('engine-0', 1).running == 29
--- a/tests/unit/test_long_prompts.py
+++ b/tests/unit/test_long_prompts.py
@@ -1,11 +1,11 @@
-"""Long prompts beside short streams: the load, and what callers get.
-
-A long prompt (9,000 tokens, of which 5,000 have to be read) comes each 0.12 s,
-a short stream of 2.5 s each 0.035 s. Of six engines two are 1.3 times slower. A
-step that reads 2,048 tokens takes 76 ms, an event three steps, and streams may
-pause for 0.3 s: at the slow engines they were late beside each long prompt. On
-a day without faults 22 of 100 short streams were late, 55 to 78 at the two slow
-engines; with the rule below 15 were.
+"""Simulated load of long prompts and short streams on fast and slow engines.
+
+A long prompt (9,000 tokens, 5,000 of them not cached) arrives each 0.12 s, a
+short stream of 2.5 s each 0.035 s. Two of six engines are 1.3 times slower. A
+step that prefills 2,048 tokens takes 76 ms, an event takes three steps, and the
+objective for pauses is 0.3 s, which each long prompt exceeds at the slow
+engines. In a run without faults 22 of 100 short streams were late, 55 to 78 at
+the slow engines; with the pause risk in the cost of an engine, 15 were.
 """
 
 import operator
@@ -16,29 +16,29 @@
 from dykemast._internal.operations.server_choice import (
     EngineOption,
     choose_cheapest,
-    cost_engine,
+    compute_engine_cost,
 )
 
-#: How many times slower than the fastest each is.
+#: Duration of a step at each engine, relative to the fastest.
 SPEEDS = (1, 1, 1.3, 1, 1, 1.3)
 STREAM_EVERY = 0.035
-STREAM_TIME = 2.5
+STREAM_TIME_S = 2.5
 STREAM_PROMPT = 600
 LONG_EVERY = 0.12
-LONG_MISSING = 5000
-PIECE = 2048
-#: Seconds of a step that reads a piece, at the faster engines.
-STEP = 0.076
+LONG_UNCACHED = 5000
+CHUNK_TOKENS = 2048
+#: Seconds of a step that prefills one chunk, at the fast engines.
+STEP_S = 0.076
 STEPS_PER_EVENT = 3
-#: Seconds between two events while no prompt is read.
-USUAL_PAUSE = 0.01
-OBJECTIVE = 0.3
-#: Seconds within which the first event of a long prompt has to come.
-FIRST_OBJECTIVE = 1.0
+#: Seconds between two events without prefill.
+USUAL_PAUSE_S = 0.01
+OBJECTIVE_S = 0.3
+#: Seconds within which the first event after a long prompt is due.
+FIRST_OBJECTIVE_S = 1.0
 
 
 class Outcome(NamedTuple):
-    """What callers got: shares of answers that were late."""
+    """Shares of responses that were late."""
 
     streams: float
     prompts: float
@@ -53,12 +53,12 @@
 
 
 class Engine:
-    """What one engine has to do."""
+    """Work of one engine."""
 
-    def __init__(self, name: str, slower: float) -> None:
+    def __init__(self, name: str, slowdown: float) -> None:
         self.name = name
-        #: Seconds of a step that reads a piece.
-        self.step = STEP * slower
+        #: Seconds of a step that prefills one chunk.
+        self.step = STEP_S * slowdown
         self.free_at = float()
         self.streams: list[Stream] = []
 
@@ -67,17 +67,17 @@
 
     def count_unread(self, now: float) -> int:
         busy = max(0, self.free_at - now)
-        return int(busy / self.step * PIECE)
+        return int(busy / self.step * CHUNK_TOKENS)
 
-    def read(self, tokens: int, now: float) -> float:
-        """Read a prompt; tell when its first event comes."""
-        took = tokens / PIECE * self.step
+    def prefill(self, tokens: int, now: float) -> float:
+        """Prefill a prompt; return the time of its first event."""
+        took = tokens / CHUNK_TOKENS * self.step
         self.free_at = max(now, self.free_at) + took
         return self.free_at
 
 
-class Play:
-    """A load that is played against the rules."""
+class Simulation:
+    """Simulation of a load under the cost function."""
 
     def __init__(self, *, weighs_pauses: bool) -> None:
         self.engines = list(map(Engine, 'abcdef', SPEEDS))
@@ -85,38 +85,38 @@
         self.weighs_pauses = weighs_pauses
         self.late_prompts: list[bool] = []
 
-    def choose(self, missing: int, now: float) -> Engine:
-        options = [self.weigh(engine, missing, now) for engine in self.engines]
-        name = choose_cheapest(options, cost_engine, float)
+    def choose(self, uncached: int, now: float) -> Engine:
+        options = [self.weigh(engine, uncached, now) for engine in self.engines]
+        name = choose_cheapest(options, compute_engine_cost, float)
         return next(one for one in self.engines if one.name == name)
 
-    def weigh(self, engine: Engine, missing: int, now: float) -> EngineOption:
+    def weigh(self, engine: Engine, uncached: int, now: float) -> EngineOption:
         risk = self.pauses.estimate_risk(engine.name, now)
         return EngineOption(
             server=engine.name,
             running=len(engine.list_running(now)),
             slots=64,
             unread=engine.count_unread(now),
-            missing=missing,
-            missing_shared=0,
+            uncached=uncached,
+            uncached_shared=0,
             tokens_per_event=STEPS_PER_EVENT,
             pause_risk=risk if self.weighs_pauses else 0,
-            trust=1,
+            health=1,
         )
 
     def send_stream(self, now: float) -> None:
         engine = self.choose(STREAM_PROMPT, now)
-        engine.read(STREAM_PROMPT, now)
-        engine.streams.append(Stream(now + STREAM_TIME))
+        engine.prefill(STREAM_PROMPT, now)
+        engine.streams.append(Stream(now + STREAM_TIME_S))
 
     def send_long(self, now: float) -> None:
-        engine = self.choose(LONG_MISSING, now)
-        first = engine.read(LONG_MISSING, now)
-        self.late_prompts.append(first - now > FIRST_OBJECTIVE)
-        pause = STEPS_PER_EVENT * engine.step + USUAL_PAUSE
+        engine = self.choose(LONG_UNCACHED, now)
+        first = engine.prefill(LONG_UNCACHED, now)
+        self.late_prompts.append(first - now > FIRST_OBJECTIVE_S)
+        pause = STEPS_PER_EVENT * engine.step + USUAL_PAUSE_S
         for stream in engine.list_running(now):
-            self.pauses.record(engine.name, pause, OBJECTIVE, now)
-            stream.late = stream.late or pause > OBJECTIVE
+            self.pauses.record(engine.name, pause, OBJECTIVE_S, now)
+            stream.late = stream.late or pause > OBJECTIVE_S
 
     def measure(self) -> Outcome:
         streams = [one.late for each in self.engines for one in each.streams]
@@ -125,49 +125,53 @@
         )
 
 
-def play(*, weighs_pauses: bool) -> Outcome:
-    """Play the load; tell what was late."""
-    played = Play(weighs_pauses=weighs_pauses)
-    moments = [(turn * STREAM_EVERY, played.send_stream) for turn in range(570)]
-    moments += [(turn * LONG_EVERY, played.send_long) for turn in range(166)]
+def simulate(*, weighs_pauses: bool) -> Outcome:
+    """Simulate the load; return the late shares."""
+    simulation = Simulation(weighs_pauses=weighs_pauses)
+    moments = [
+        (turn * STREAM_EVERY, simulation.send_stream) for turn in range(570)
+    ]
+    moments += [
+        (turn * LONG_EVERY, simulation.send_long) for turn in range(166)
+    ]
     for at, send in sorted(moments, key=operator.itemgetter(0)):
         send(at)
-    return played.measure()
+    return simulation.measure()
 
 
-def test_long_prompts_spare_the_streams_that_they_would_make_late() -> None:
-    before = play(weighs_pauses=False)
-    after = play(weighs_pauses=True)
-    # The load is one in which it matters.
+def test_long_prompts_avoid_engines_where_they_delay_streams() -> None:
+    before = simulate(weighs_pauses=False)
+    after = simulate(weighs_pauses=True)
+    # The load delays streams if the risk is ignored.
     assert before.streams > 1 / 5
     assert after.streams < before.streams / 2
-    # Not at the cost of the long ones.
+    # Long prompts are not later than before.
     assert after.prompts == before.prompts
 
 
 def make_option(name: str) -> EngineOption:
-    """Make an engine with ten streams that would have to read a long prompt."""
+    """Make an engine with ten streams that would prefill a long prompt."""
     return EngineOption(
         server=name,
         running=10,
         slots=64,
         unread=0,
-        missing=LONG_MISSING,
-        missing_shared=0,
+        uncached=LONG_UNCACHED,
+        uncached_shared=0,
         tokens_per_event=STEPS_PER_EVENT,
         pause_risk=0,
-        trust=1,
+        health=1,
     )
 
 
-def test_how_long_a_prompt_harms_depends_on_what_an_event_holds() -> None:
-    # Two steps are held up by 4,000 tokens. An event of three has one left; an
-    # event of one is late whatever else its engine does.
-    slow = make_option('slow')._replace(missing=4000, pause_risk=0.5)
-    fast = make_option('fast')._replace(missing=4000, unread=500)
-    assert choose_cheapest([slow, fast], cost_engine, float) == 'slow'
+def test_delay_by_a_prompt_depends_on_tokens_per_event() -> None:
+    # 4,000 tokens delay two steps. An event of three tokens has one step left;
+    # an event of one token is late at any engine.
+    slow = make_option('slow')._replace(uncached=4000, pause_risk=0.5)
+    fast = make_option('fast')._replace(uncached=4000, unread=500)
+    assert choose_cheapest([slow, fast], compute_engine_cost, float) == 'slow'
     single = [one._replace(tokens_per_event=1) for one in (slow, fast)]
-    assert choose_cheapest(single, cost_engine, float) == 'fast'
+    assert choose_cheapest(single, compute_engine_cost, float) == 'fast'
 
 
 def test_prompts_go_to_a_slow_engine_rather_than_be_late() -> None:
@@ -175,10 +179,13 @@
         return make_option(name)._replace(**fields)
 
     slow = weigh('slow', pause_risk=0.5)
-    assert choose_cheapest([slow, weigh('fast')], cost_engine, float) == 'fast'
+    assert (
+        choose_cheapest([slow, weigh('fast')], compute_engine_cost, float)
+        == 'fast'
+    )
     full = weigh('fast', unread=40_000)
-    assert choose_cheapest([slow, full], cost_engine, float) == 'slow'
-    # With no streams beside it there is nobody to make late.
+    assert choose_cheapest([slow, full], compute_engine_cost, float) == 'slow'
+    # Without running streams there is nothing to delay.
     alone = weigh('slow', pause_risk=0.5, running=0)
     fast = weigh('fast', unread=1000)
-    assert choose_cheapest([alone, fast], cost_engine, float) == 'slow'
+    assert choose_cheapest([alone, fast], compute_engine_cost, float) == 'slow'
--- a/tests/unit/test_send_checks.py
+++ b/tests/unit/test_send_checks.py
@@ -1,4 +1,4 @@
-"""What keeps a send from a server, when it is chosen and when bytes go out."""
+"""Checks of backpressure, at the choice of a server and before sending."""
 
 from typing import Final
 
@@ -28,7 +28,7 @@
     slots=6,
     leaving=False,
 )
-TURNED_AWAY: Final = ResponseHead(
+UNAVAILABLE: Final = ResponseHead(
     status=503,
     request_id='r-1',
     signed=False,
@@ -42,25 +42,25 @@
 
 
 def make_one() -> ServingBoard:
-    """Make a board that knows one server and no other router."""
+    """Make a board with one server and no other router."""
     board = make_board()
     board.peers_read.set()
     add_server(board, SERVER)
     return board
 
 
-def answer(board: ServingBoard, **backpressure: float) -> None:
+def respond(board: ServingBoard, **backpressure: float) -> None:
     asked = Backpressure(**backpressure)
-    record_backpressure(board, SERVER, TURNED_AWAY._replace(backpressure=asked))
+    record_backpressure(board, SERVER, UNAVAILABLE._replace(backpressure=asked))
 
 
-def measure(board: ServingBoard) -> float:
-    turns = SharedRateLimiter(board.settings.name, read_clock())
-    return compute_wait(board, turns, SERVER, 0)
+def get_wait(board: ServingBoard) -> float:
+    limiter = SharedRateLimiter(board.settings.name, read_clock())
+    return compute_wait(board, limiter, SERVER, 0)
 
 
 def is_held_back(board: ServingBoard, made_at: float) -> bool:
-    """Tell whether a send is held back that was chosen at a moment."""
+    """Check whether a request that was chosen at a time is held back."""
     sending = UpstreamRequest(SERVER, None, b'', None, made_at + 1, made_at)
     try:
         check_send(board, sending)
@@ -70,63 +70,63 @@
     return False
 
 
-def test_a_server_that_asks_for_nothing_may_get_a_request() -> None:
+def test_a_server_without_backpressure_may_get_a_request() -> None:
     board = make_one()
-    answer(board)
-    assert not measure(board)
+    respond(board)
+    assert not get_wait(board)
     assert not is_held_back(board, read_clock())
 
 
-def test_a_rest_is_not_shortened_by_the_next_one() -> None:
+def test_a_backoff_is_not_shortened_by_the_next_one() -> None:
     board = make_one()
-    answer(board, rest=REST)
-    answer(board, rest=0.5)
-    assert measure(board) > REST - 1
-    answer(board, rest=2 * REST)
-    assert measure(board) > 2 * REST - 1
+    respond(board, rest=REST)
+    respond(board, rest=0.5)
+    assert get_wait(board) > REST - 1
+    respond(board, rest=2 * REST)
+    assert get_wait(board) > 2 * REST - 1
 
 
-def test_an_answer_that_asks_for_no_rest_ends_none() -> None:
+def test_a_response_without_backoff_ends_none() -> None:
     board = make_one()
-    answer(board, rest=REST)
-    answer(board)
-    assert measure(board) > REST - 1
+    respond(board, rest=REST)
+    respond(board)
+    assert get_wait(board) > REST - 1
 
 
-def test_rest_and_limit_both_hold_a_server_back() -> None:
+def test_the_longer_of_backoff_and_limit_applies() -> None:
     board = make_one()
-    answer(board, limit=LIMIT, rest=0.5)
-    assert measure(board) > 1 / LIMIT - 1
-    answer(board, rest=REST)
-    assert measure(board) > REST - 1
+    respond(board, limit=LIMIT, rest=0.5)
+    assert get_wait(board) > 1 / LIMIT - 1
+    respond(board, rest=REST)
+    assert get_wait(board) > REST - 1
 
 
-def test_what_was_chosen_before_a_server_spoke_does_not_go_out() -> None:
+def test_a_request_is_held_back_by_backpressure_after_the_choice() -> None:
     for backpressure in ({'rest': REST}, {'limit': LIMIT}, {'leaving': True}):
         board = make_one()
         made_at = read_clock()
         assert not is_held_back(board, made_at)
-        answer(board, **backpressure)
+        respond(board, **backpressure)
         assert is_held_back(board, made_at), backpressure
 
 
-def test_a_turn_that_was_taken_under_a_limit_goes_out() -> None:
+def test_a_request_that_was_chosen_under_a_limit_is_sent() -> None:
     board = make_one()
-    answer(board, limit=LIMIT)
+    respond(board, limit=LIMIT)
     assert not is_held_back(board, read_clock())
 
 
 def test_a_refusal_that_names_no_limit_ends_none() -> None:
     board = make_one()
-    answer(board, limit=LIMIT)
-    answer(board)
-    assert measure(board)
+    respond(board, limit=LIMIT)
+    respond(board)
+    assert get_wait(board)
 
 
-def test_rests_that_are_over_are_forgotten() -> None:
+def test_backoffs_that_are_over_are_dropped() -> None:
     board = make_one()
-    answer(board, rest=REST)
-    board.backpressure.forget((), read_clock())
+    respond(board, rest=REST)
+    board.backpressure.expire((), read_clock())
     assert board.backpressure.backoff_until
-    board.backpressure.forget((), read_clock() + 2 * REST)
+    board.backpressure.expire((), read_clock() + 2 * REST)
     assert not board.backpressure.backoff_until
