--- a/src/dykemast/_internal/controllers/bills.py
+++ b/src/dykemast/_internal/controllers/bills.py
@@ -18,9 +18,9 @@
 _log = logbook.Logger('bill')
 
 #: Bills kept in memory at most; beyond that new requests are refused.
-MAX_KEPT: Final = 20000
+MAX_KEPT_BILLS: Final = 20000
 #: Seconds between two tries to write the bills that are kept.
-FLUSH_INTERVAL: Final = 1.0
+FLUSH_INTERVAL_S: Final = 1.0
 #: Peers that are asked to keep a bill, one after the other.
 MAX_ASKED: Final = 3
 
@@ -75,7 +75,7 @@
         :param entries: the bills.
         :returns: whether there was room.
         """
-        if len(self.kept) >= MAX_KEPT:
+        if len(self.kept) >= MAX_KEPT_BILLS:
             return False
         self.kept.update((entry.run, entry) for entry in entries)
         return True
@@ -83,7 +83,7 @@
     async def run(self) -> None:
         """Write the bills that are kept until cancelled."""
         while True:
-            await asyncio.sleep(FLUSH_INTERVAL)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             await self.flush()
 
     async def flush(self) -> None:
--- a/src/dykemast/_internal/controllers/configuration.py
+++ b/src/dykemast/_internal/controllers/configuration.py
@@ -23,9 +23,9 @@
 _log = logbook.Logger('config')
 
 #: Seconds between two looks whether a peer has a newer revision.
-PEER_INTERVAL: Final = 0.5
+PEER_INTERVAL_S: Final = 0.5
 #: Seconds before a watch that failed is made again.
-WATCH_RETRY: Final = 1.0
+WATCH_RETRY_S: Final = 1.0
 
 
 class ConfigurationFollower:
@@ -77,12 +77,12 @@
                 mark = await self._follow(mark)
             except PlatformError as error:
                 _log.warning('config: {} not watched: {}', HEAD, error)
-                await asyncio.sleep(WATCH_RETRY)
+                await asyncio.sleep(WATCH_RETRY_S)
 
     async def follow_peers(self) -> None:
         """Follow the other routers until cancelled."""
         while True:
-            await asyncio.sleep(PEER_INTERVAL)
+            await asyncio.sleep(PEER_INTERVAL_S)
             peers = list_peers(self._board.fleet, read_clock())
             newest = max(peers, key=lambda card: card.revision, default=None)
             if newest and newest.revision > _number(self._board):
@@ -93,9 +93,9 @@
         return (await self._store.wait_change(mark)).mark
 
     async def _learn(self, card: PeerCard) -> None:
-        words = (_number(self._board),)
+        arguments = (_number(self._board),)
         try:
-            body = await self._client.call(card, 'newer_revision', words)
+            body = await self._client.call(card, 'newer_revision', arguments)
         except PeerError as error:
             _log.info('config: {}', error)
             return
--- a/src/dykemast/_internal/controllers/instances.py
+++ b/src/dykemast/_internal/controllers/instances.py
@@ -18,7 +18,7 @@
 _log = logbook.Logger('member')
 
 #: Seconds between two reads of the platform's list.
-LIST_INTERVAL: Final = 1.0
+LIST_INTERVAL_S: Final = 1.0
 #: Start of the names of objects that name an instance's newest incarnation.
 MEMBERS: Final = 'members/'
 
@@ -59,7 +59,7 @@
                 await self.refresh()
             except PlatformError as error:
                 _log.warning('member: list not read: {}', error)
-            await asyncio.sleep(LIST_INTERVAL)
+            await asyncio.sleep(LIST_INTERVAL_S)
 
     async def refresh(self) -> None:
         """Read the list once.
--- a/src/dykemast/_internal/controllers/journal.py
+++ b/src/dykemast/_internal/controllers/journal.py
@@ -12,9 +12,9 @@
 
 #: Seconds that an entry waits for the journal: a keeper passed over, and a
 #: list, a read and a write of a slow platform.
-APPEND_TIMEOUT: Final = 4.0
+APPEND_TIMEOUT_S: Final = 4.0
 #: Seconds for which the journal counts as away after a failure.
-AWAY_TIME: Final = 2.0
+UNAVAILABLE_S: Final = 2.0
 
 
 class Journal:
@@ -28,14 +28,14 @@
         """Start with the journal thought to be there."""
         self._keepers = keepers
         self._shards = shards
-        self._failed_at = -AWAY_TIME
+        self._failed_at = -UNAVAILABLE_S
 
     def is_away(self) -> bool:
         """Tell whether an append would most likely fail now.
 
         :returns: whether one failed a moment ago.
         """
-        return read_clock() - self._failed_at <= AWAY_TIME
+        return read_clock() - self._failed_at <= UNAVAILABLE_S
 
     async def append(self, entry: Entry) -> JournalAck:
         """Append one entry.
@@ -46,7 +46,7 @@
         """
         ledger = f'{PREFIX}{choose_shard(entry.key, self._shards)}'
         try:
-            async with asyncio.timeout(APPEND_TIMEOUT):
+            async with asyncio.timeout(APPEND_TIMEOUT_S):
                 acks = await self._keepers.commit(ledger, [entry])
         except (TimeoutError, PlatformError) as error:
             self._failed_at = read_clock()
--- a/src/dykemast/_internal/controllers/keepers.py
+++ b/src/dykemast/_internal/controllers/keepers.py
@@ -26,9 +26,9 @@
 
 #: Seconds to wait for a keeper. A frozen one must not use up the time of
 #: those who wait for their claim or for room in their budget.
-KEEPER_TIMEOUT: Final = 0.8
+OWNER_TIMEOUT_S: Final = 0.8
 #: Seconds for which a keeper that did not answer is passed over.
-AVOID_TIME: Final = 5.0
+AVOID_S: Final = 5.0
 
 
 class LedgerKind(NamedTuple):
@@ -81,10 +81,10 @@
         body = ledger_codec.encode_intents(intents)
         try:
             acks = await self._client.call(
-                view.card, 'commit', (ledger, body), KEEPER_TIMEOUT
+                view.card, 'commit', (ledger, body), OWNER_TIMEOUT_S
             )
         except PeerError as error:
-            self._avoided[view.card.instance] = read_clock() + AVOID_TIME
+            self._avoided[view.card.instance] = read_clock() + AVOID_S
             _log.info('keeper: {} is written here: {}', ledger, error)
             return await self.commit_here(ledger, intents)
         return self._find_kind(ledger).decode_acks(acks)
--- a/src/dykemast/_internal/controllers/lease_renewals.py
+++ b/src/dykemast/_internal/controllers/lease_renewals.py
@@ -18,7 +18,7 @@
 _log = logbook.Logger('lease')
 
 #: Seconds between two looks at the leases of a shard.
-TICK: Final = 0.5
+RENEWAL_INTERVAL_S: Final = 0.5
 
 
 class LeaseRenewer:
@@ -40,21 +40,21 @@
         """Start with nothing renewed."""
         self.kick = asyncio.Event()
         self.away = False
-        self._book = lease_registry
+        self._lease_registry = lease_registry
         self._commit = functools.partial(keepers.commit, ledger)
         self._belongs = belongs
         self.reads = ReadLog()
         self._seen = 0
         self._turn = asyncio.Lock()
 
-    async def run(self, on_news: Callable[[], None]) -> None:
+    async def run(self, on_round: Callable[[], None]) -> None:
         """Renew until cancelled.
 
-        :param on_news: called after each round.
+        :param on_round: called after each round.
         """
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TICK):
+                async with asyncio.timeout(RENEWAL_INTERVAL_S):
                     await self.kick.wait()
             self.kick.clear()
             try:
@@ -62,7 +62,7 @@
             except DykemastError as error:
                 self.away = True
                 _log.warning('lease: not renewed: {}', error)
-            on_news()
+            on_round()
 
     async def renew(self) -> None:
         """Renew what is due, after the renewal under way.
@@ -76,22 +76,22 @@
             await self._renew()
 
     async def _renew(self) -> None:
-        plans = self._book.plan_renewals(
+        plans = self._lease_registry.plan_renewals(
             self._belongs, read_clock(), self._seen
         )
         if not plans:
             return
         started = read_clock()
         for ack in await self._commit(plans):
-            self._take(ack)
+            self._apply_ack(ack)
             if ack.version:
                 # It stood when it was written, so it was no newer before.
                 self.reads.record_read(ack.version, started)
         self.away = False
 
-    def _take(self, ack: BudgetAck) -> None:
+    def _apply_ack(self, ack: BudgetAck) -> None:
         self._seen = max(self._seen, ack.version)
-        self._book.apply_ack(ack, read_clock())
+        self._lease_registry.apply_ack(ack, read_clock())
         _log.info(
             'lease: {} allotted {} armed {} free {} target {}.',
             ack.budget,
--- a/src/dykemast/_internal/controllers/leases.py
+++ b/src/dykemast/_internal/controllers/leases.py
@@ -25,7 +25,7 @@
     ) -> None:
         """Start with no lease."""
         self.lease_registry = lease_registry
-        self._news = asyncio.Event()
+        self._renewed = asyncio.Event()
         self.renewers = [
             _make_renewer(lease_registry, keepers, (number, shards))
             for number in range(shards)
@@ -45,14 +45,14 @@
         """
         return self.renewers[choose_shard(budget, len(self.renewers))]
 
-    async def wait_news(self, patience: float) -> None:
+    async def wait_for_renewal(self, timeout_s: float) -> None:
         """Wait until some leases were looked at.
 
-        :param patience: seconds to wait at most.
+        :param timeout_s: seconds to wait at most.
         """
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(patience):
-                await self._news.wait()
+            async with asyncio.timeout(timeout_s):
+                await self._renewed.wait()
 
     def recall(self, budget: str) -> None:
         """Renew a lease at once because others need its tokens.
@@ -74,8 +74,8 @@
             await renewer.renew()
 
     def _wake_waiters(self) -> None:
-        waited = self._news
-        self._news = asyncio.Event()
+        waited = self._renewed
+        self._renewed = asyncio.Event()
         waited.set()
 
 
--- a/src/dykemast/_internal/controllers/ledger_kinds.py
+++ b/src/dykemast/_internal/controllers/ledger_kinds.py
@@ -12,9 +12,9 @@
 from dykemast._internal.operations.group_commit import LedgerCallbacks
 
 #: Seconds between two writes of a budget shard.
-BUDGET_PAUSE: Final = 0.5
+BUDGET_WRITE_INTERVAL_S: Final = 0.5
 #: Seconds between two writes of a journal shard.
-JOURNAL_PAUSE: Final = 0.14
+JOURNAL_WRITE_INTERVAL_S: Final = 0.14
 
 
 def make_kinds(platform: Platform, window: float) -> dict[str, LedgerKind]:
@@ -34,6 +34,10 @@
         return LedgerCallbacks(shard.load, shard.merge)
 
     return {
-        'budgets': LedgerKind(open_budgets, decode_budget_acks, BUDGET_PAUSE),
-        'journal': LedgerKind(open_journal, decode_journal_acks, JOURNAL_PAUSE),
+        'budgets': LedgerKind(
+            open_budgets, decode_budget_acks, BUDGET_WRITE_INTERVAL_S
+        ),
+        'journal': LedgerKind(
+            open_journal, decode_journal_acks, JOURNAL_WRITE_INTERVAL_S
+        ),
     }
--- a/src/dykemast/_internal/controllers/lending.py
+++ b/src/dykemast/_internal/controllers/lending.py
@@ -17,9 +17,9 @@
 _log = logbook.Logger('lend')
 
 #: Transfers that are remembered, so that a repeat gives nothing twice.
-REMEMBERED: Final = 10000
+MAX_TRANSFERS: Final = 10000
 #: Times the wanted tokens that are asked for, to ask less often.
-BORROW_AHEAD: Final = 4
+BORROW_FACTOR: Final = 4
 
 
 class Lending:
@@ -38,9 +38,9 @@
     ) -> None:
         """Start with nothing lent."""
         self._board = board
-        self._book = lease_registry
+        self._lease_registry = lease_registry
         self._client = client
-        self._given: OrderedDict[str, int] = OrderedDict()
+        self._lent: OrderedDict[str, int] = OrderedDict()
 
     async def borrow(self, budget: str, tokens: int) -> int:
         """Ask peers for tokens of a budget.
@@ -52,9 +52,9 @@
         got = 0
         peers = list_peers(self._board.fleet, read_clock())
         for card in peers:
-            words = (budget, tokens * BORROW_AHEAD - got, uuid.uuid4().hex)
+            arguments = (budget, tokens * BORROW_FACTOR - got, uuid.uuid4().hex)
             try:
-                got += await self._client.call(card, 'lend', words)
+                got += await self._client.call(card, 'lend', arguments)
             except PeerError as error:
                 # What was lent and not received is stranded, never doubled.
                 _log.info('lend: {}', error)
@@ -85,13 +85,13 @@
         :param transfer: id of the transfer; a repeat gets the same answer.
         :returns: how many it gets.
         """
-        known = self._given.get(transfer)
+        known = self._lent.get(transfer)
         if known is not None:
             return known
-        holder = self._book.holders.get(budget)
+        holder = self._lease_registry.holders.get(budget)
         given = holder.lend(tokens, read_clock()) if holder else 0
-        self._given[transfer] = given
-        if len(self._given) > REMEMBERED:
-            self._given.popitem(last=False)
+        self._lent[transfer] = given
+        if len(self._lent) > MAX_TRANSFERS:
+            self._lent.popitem(last=False)
         _log.info('lend: gave {} tokens of {}.', given, budget)
         return given
--- a/src/dykemast/_internal/controllers/load_reports.py
+++ b/src/dykemast/_internal/controllers/load_reports.py
@@ -14,7 +14,7 @@
 _log = logbook.Logger('load')
 
 #: Seconds between two rounds of load reports.
-LOAD_INTERVAL: Final = 1.0
+LOAD_INTERVAL_S: Final = 1.0
 #: Workers asked in one round, however many there are; the oldest reports
 #: first. What is older counts less when a worker is chosen.
 MAX_ASKED: Final = 32
@@ -42,7 +42,7 @@
             reports = self._board.loads.reports
             for gone in set(reports) - names:
                 reports.pop(gone)
-            await asyncio.sleep(LOAD_INTERVAL)
+            await asyncio.sleep(LOAD_INTERVAL_S)
 
     async def _read(self, instance: Instance) -> None:
         try:
--- a/src/dykemast/_internal/controllers/loops.py
+++ b/src/dykemast/_internal/controllers/loops.py
@@ -33,10 +33,10 @@
     loops = [
         BackgroundLoop(run.__qualname__, run) for run in assembly.list_loops()
     ]
-    return start_loops([*loops, watch], assembly.parts.board.loops, _tell_end)
+    return start_loops([*loops, watch], assembly.parts.board.loops, _log_end)
 
 
-def _tell_end(end: LoopFailure) -> None:
+def _log_end(end: LoopFailure) -> None:
     _log.error(
         'loops: {} failed and runs again in {:.1f} s: {} in {}',
         end.loop,
--- a/src/dykemast/_internal/controllers/news.py
+++ b/src/dykemast/_internal/controllers/news.py
@@ -21,9 +21,9 @@
 _log = logbook.Logger('member')
 
 #: Seconds between two rounds of news.
-NEWS_INTERVAL: Final = 1.0
+GOSSIP_INTERVAL_S: Final = 1.0
 #: Peers that get news in one round, whatever the fleet's size.
-NEWS_FANOUT: Final = 3
+GOSSIP_FANOUT: Final = 3
 
 
 class News:
@@ -44,9 +44,9 @@
         """Exchange news until cancelled."""
         while True:
             await self.spread()
-            await asyncio.sleep(NEWS_INTERVAL)
+            await asyncio.sleep(GOSSIP_INTERVAL_S)
 
-    async def take_news(self, news: Any) -> Any:
+    async def handle_gossip(self, news: Any) -> Any:
         """Take in a peer's news and tell this router's.
 
         :param news: a ``Gossip``.
@@ -61,20 +61,23 @@
                 )
         listed = {instance.name for instance in fleet.instances}
         fleet.leaving.update(set(news.leaving) & listed)
-        return self._make_news()
+        return self._make_message()
 
     async def spread(self) -> None:
         """Exchange news with some peers, also those only listed yet."""
         targets = list_gossip_targets(self._board)
-        count = min(NEWS_FANOUT, len(targets))
+        count = min(GOSSIP_FANOUT, len(targets))
         await asyncio.gather(
-            *(self._tell(card) for card in self._chance.sample(targets, count))
+            *(
+                self._exchange_with(card)
+                for card in self._chance.sample(targets, count)
+            )
         )
 
-    async def _tell(self, card: PeerCard) -> None:
+    async def _exchange_with(self, card: PeerCard) -> None:
         try:
             news = await self._client.call(
-                card, 'exchange', (self._make_news(),)
+                card, 'exchange', (self._make_message(),)
             )
         except DykemastError as error:
             _log.debug('member: {}', error)
@@ -82,9 +85,9 @@
             # heartbeat, from itself or by hearsay, brings it back.
             peers.mark_unreachable(self._board.fleet, card.instance)
             return
-        await self.take_news(news)
+        await self.handle_gossip(news)
 
-    def _make_news(self) -> Any:
+    def _make_message(self) -> Any:
         self._beat += 1
         fleet = self._board.fleet
         now = read_clock()
--- a/src/dykemast/_internal/controllers/peer_calls.py
+++ b/src/dykemast/_internal/controllers/peer_calls.py
@@ -32,7 +32,7 @@
         parts.leases.recall(budget)
 
     return PeerCalls(
-        exchange=news.take_news,
+        exchange=news.handle_gossip,
         commit=keepers.serve,
         lend=parts.lending.lend,
         hold_bills=hold_bills,
--- a/src/dykemast/_internal/controllers/reclaims.py
+++ b/src/dykemast/_internal/controllers/reclaims.py
@@ -22,7 +22,7 @@
 _log = logbook.Logger('reclaim')
 
 #: Seconds between two looks at the shards that this router keeps.
-RECLAIM_INTERVAL: Final = 3.0
+RECLAIM_INTERVAL_S: Final = 3.0
 
 
 class Reclaims:
@@ -51,34 +51,36 @@
     async def run(self) -> None:
         """Look after the shards until cancelled."""
         while True:
-            await asyncio.sleep(RECLAIM_INTERVAL)
+            await asyncio.sleep(RECLAIM_INTERVAL_S)
             try:
-                await self._look()
+                await self._check_shards()
             except DykemastError as error:
                 _log.info('reclaim: not now: {}', error)
 
-    async def _look(self) -> None:
+    async def _check_shards(self) -> None:
         own = self._board.settings['instance']
         for number in range(self._board.settings.get('budget_shards', 1)):
             name = f'{PREFIX}{number}'
             if self._keepers.find_keeper(name) == own:
-                await self._look_at(name, self._leases.renewers[number].reads)
+                await self._check_shard(
+                    name, self._leases.renewers[number].reads
+                )
             else:
                 self._shards.pop(name, None)
 
-    async def _look_at(self, name: str, reads: reclaim.ReadLog) -> None:
+    async def _check_shard(self, name: str, reads: reclaim.ReadLog) -> None:
         shard = self._shards.setdefault(
             name, BudgetShard(self._platform, name, reads)
         )
         await shard.load()
         await self._read_incarnations(shard)
         lag = self._board.settings.get('list_lag', 0)
-        census = instance_list.collect_census(
+        known_processes = instance_list.collect_census(
             self._board.fleet, lag, read_clock()
         )
         plans = reclaim.plan_reclaims(
             shard.budgets,
-            census,
+            known_processes,
             shard.reads,
             lag + confirmed_lease.DEATH_DETECTION_S,
         )
--- a/src/dykemast/_internal/controllers/retention.py
+++ b/src/dykemast/_internal/controllers/retention.py
@@ -16,7 +16,7 @@
 _log = logbook.Logger('journal')
 
 #: Seconds between two looks at the shards that this router keeps.
-LOOK_INTERVAL: Final = 30.0
+CHECK_INTERVAL_S: Final = 30.0
 
 
 class Retention:
@@ -41,7 +41,7 @@
     async def run(self) -> None:
         """Look after the shards until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_INTERVAL)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             for number in range(self._board.settings.get('journal_shards', 1)):
                 try:
                     await self.trim(f'{PREFIX}{number}')
--- a/src/dykemast/_internal/controllers/runtime.py
+++ b/src/dykemast/_internal/controllers/runtime.py
@@ -13,15 +13,15 @@
 from dykemast._internal.exceptions import DykemastError
 from dykemast._internal.network.listeners import Listener, close_listeners
 from dykemast._internal.network.peer_server import open_server
-from dykemast._internal.path.background import wait_apart
+from dykemast._internal.path.background import wait_for_background
 
 _log = logbook.Logger('router')
 
 #: Seconds that listeners may take to send what was answered and to close idle
 #: connections: they look each 0.1 s whether to, and wait 0.1 s.
-CLOSE_TIME: Final = 1.0
+CLOSE_TIMEOUT_S: Final = 1.0
 #: Tries to give all leases back at a planned stop.
-CLOSE_TRIES: Final = 5
+CLOSE_ATTEMPTS: Final = 5
 
 
 class Runtime(NamedTuple):
@@ -49,22 +49,22 @@
         await stopping.wait_until_unused(board, plan, hasten)
         # From here on nothing is let in that nobody would wait for.
         stopping.close_admission(board, plan)
-        await close_listeners(self.listeners, CLOSE_TIME)
-        await self._give_back()
+        await close_listeners(self.listeners, CLOSE_TIMEOUT_S)
+        await self._return_leases()
         await self._close()
 
-    async def _give_back(self) -> None:
-        await wait_apart()
-        for attempt in range(CLOSE_TRIES):
+    async def _return_leases(self) -> None:
+        await wait_for_background()
+        for attempt in range(CLOSE_ATTEMPTS):
             try:
-                await self._write_last()
+                await self._write_remaining()
             except DykemastError as error:
                 _log.warning('router: leases not back yet: {}', error)
                 await asyncio.sleep(attempt)
             else:
                 return
 
-    async def _write_last(self) -> None:
+    async def _write_remaining(self) -> None:
         await self.assembly.parts.bills.flush()
         await self.assembly.parts.leases.close_all()
 
--- a/src/dykemast/_internal/path/admission.py
+++ b/src/dykemast/_internal/path/admission.py
@@ -24,16 +24,16 @@
 from dykemast._internal.utils.keys import hash_bearer, digests_match
 
 #: Requests of one workspace in progress at one router, where not set.
-DEFAULT_CONCURRENT: Final = 512
+DEFAULT_CONCURRENT_REQUESTS: Final = 512
 #: Requests in progress at one router at most.
 MAX_INFLIGHT: Final = 4096
 #: Seconds after which a caller that was refused for load should come back.
-BUSY_RETRY: Final = 2
+BUSY_RETRY_AFTER_S: Final = 2
 #: Seconds after which a router that just started should be ready.
-READY_RETRY: Final = 3
+READY_RETRY_AFTER_S: Final = 3
 #: Seconds after which a caller that met a stopping router may try another: the
 #: least that the field can say.
-STOPPING_RETRY: Final = 1
+STOPPING_RETRY_AFTER_S: Final = 1
 
 
 def find_configuration(board: Blackboard) -> Configuration:
@@ -46,7 +46,7 @@
     if board.rules.revision is None:
         text = 'No configuration is in force yet.'
         raise RefusedError(
-            Refusal(Code.not_ready, text, retry_after=READY_RETRY)
+            Refusal(Code.not_ready, text, retry_after=READY_RETRY_AFTER_S)
         )
     return board.rules.revision.configuration
 
@@ -71,7 +71,7 @@
     return found
 
 
-def make_ask(
+def make_request_context(
     board: Blackboard,
     workspace: str,
     request: Request,
@@ -108,7 +108,7 @@
     )
 
 
-def check_room(
+def check_capacity(
     board: Blackboard, workspace: WorkspaceSpec, context: RequestContext
 ) -> None:
     """Check that one more request may run, and will end before the router.
@@ -124,15 +124,19 @@
     if plan and not plan.may_admit(read_clock(), context.deadline, usual=0):
         text = 'This router is stopping; ask /v1/entry for others.'
         raise RefusedError(
-            Refusal(Code.stopping, text, retry_after=STOPPING_RETRY)
+            Refusal(Code.stopping, text, retry_after=STOPPING_RETRY_AFTER_S)
         )
     if traffic.inflight >= MAX_INFLIGHT:
         text = 'This router is full; ask /v1/entry for others.'
-        raise RefusedError(Refusal(Code.too_busy, text, retry_after=BUSY_RETRY))
-    limit = workspace.get('concurrent', DEFAULT_CONCURRENT)
+        raise RefusedError(
+            Refusal(Code.too_busy, text, retry_after=BUSY_RETRY_AFTER_S)
+        )
+    limit = workspace.get('concurrent', DEFAULT_CONCURRENT_REQUESTS)
     if traffic.by_workspace.get(workspace['name'], 0) >= limit:
         text = f'The workspace has {limit} requests in progress here.'
-        raise RefusedError(Refusal(Code.too_busy, text, retry_after=BUSY_RETRY))
+        raise RefusedError(
+            Refusal(Code.too_busy, text, retry_after=BUSY_RETRY_AFTER_S)
+        )
 
 
 def _check_age(board: Blackboard, headers: Headers, key: str) -> None:
--- a/src/dykemast/_internal/path/background.py
+++ b/src/dykemast/_internal/path/background.py
@@ -7,7 +7,7 @@
 _running: set[asyncio.Task[Any]] = set()
 
 
-def run_apart(work: Coroutine[Any, Any, Any]) -> None:
+def run_in_background(work: Coroutine[Any, Any, Any]) -> None:
     """Run something to its end, whatever happens to the caller.
 
     :param work: what to run.
@@ -17,7 +17,7 @@
     task.add_done_callback(_running.discard)
 
 
-async def wait_apart() -> None:
+async def wait_for_background() -> None:
     """Wait until all such work is done."""
     while _running:
         await asyncio.gather(*_running, return_exceptions=True)
--- a/src/dykemast/_internal/path/bodies.py
+++ b/src/dykemast/_internal/path/bodies.py
@@ -9,9 +9,9 @@
 from dykemast._internal.path.parts import RefusedError
 
 #: Bytes of a caller's body at most.
-MAX_BODY: Final = 1_048_576
+MAX_BODY_BYTES: Final = 1_048_576
 #: Seconds that a caller may take to send it.
-BODY_TIMEOUT: Final = 10.0
+BODY_TIMEOUT_S: Final = 10.0
 
 
 async def read_body(request: Request) -> bytes:
@@ -22,10 +22,10 @@
     :raises RefusedError: when it is too large or too slow.
     """
     try:
-        async with asyncio.timeout(BODY_TIMEOUT):
+        async with asyncio.timeout(BODY_TIMEOUT_S):
             return await _gather(request)
     except TimeoutError as error:
-        text = f'The body took longer than {BODY_TIMEOUT} s.'
+        text = f'The body took longer than {BODY_TIMEOUT_S} s.'
         raise RefusedError(Refusal(Code.too_late, text)) from error
     except ClientDisconnect as error:
         text = 'The caller went away while sending.'
@@ -36,7 +36,7 @@
     body = bytearray()
     async for chunk in request.stream():
         body += chunk
-        if len(body) > MAX_BODY:
-            text = f'The body is larger than {MAX_BODY} bytes.'
+        if len(body) > MAX_BODY_BYTES:
+            text = f'The body is larger than {MAX_BODY_BYTES} bytes.'
             raise RefusedError(Refusal(Code.too_large, text))
     return bytes(body)
--- a/src/dykemast/_internal/path/call_answers.py
+++ b/src/dykemast/_internal/path/call_answers.py
@@ -25,16 +25,20 @@
     :returns: the answer.
     :raises RefusedError: when there is none, or it broke off.
     """
-    response = (await routes.send_order(parts, job, backend_request)).response
-    cut = Outcome(backend_request.token_limit, backend_request.token_limit, CUT)
+    response = (
+        await routes.send_backend_request(parts, job, backend_request)
+    ).response
+    truncated = Outcome(
+        backend_request.token_limit, backend_request.token_limit, CUT
+    )
     try:
         body = await relays.read_whole(response, job.context.deadline)
     except (UpstreamError, asyncio.CancelledError) as error:
         response.close()
-        background.run_apart(job.finish(cut))
+        background.run_in_background(job.finish(truncated))
         if isinstance(error, asyncio.CancelledError):
             raise
-        raise RefusedError(_refuse_cut(error)) from error
+        raise RefusedError(_refuse_truncated(error)) from error
     recorded = record(response, body)
     await job.finish(
         Outcome(
@@ -49,7 +53,7 @@
     return answer
 
 
-def _refuse_cut(error: Exception) -> requests.Refusal:
+def _refuse_truncated(error: Exception) -> requests.Refusal:
     return requests.Refusal(
         requests.Code.upstream_failed, str(error), requests.Ran.did_run
     )
--- a/src/dykemast/_internal/path/calls.py
+++ b/src/dykemast/_internal/path/calls.py
@@ -28,12 +28,14 @@
     """
     workspace = admission.find_workspace(parts.board, request.headers)
     safe = request.method in _SAFE_METHODS
-    context = admission.make_ask(
+    context = admission.make_request_context(
         parts.board, workspace['name'], request, safe=safe
     )
     service = _find_service(parts, request.path_params['service'])
-    backend_request = _make_order(service, request)._replace(body=body)
-    admission.check_room(parts.board, workspace, context)
+    backend_request = _make_backend_request(service, request)._replace(
+        body=body
+    )
+    admission.check_capacity(parts.board, workspace, context)
     return await _run_job(
         parts, Job(parts, context), backend_request, workspace
     )
@@ -48,13 +50,13 @@
     raise RefusedError(requests.Refusal(requests.Code.not_found, text))
 
 
-def _make_order(
+def _make_backend_request(
     service: ServiceSpec, request: Request
 ) -> requests.BackendRequest:
     path = '/{}'.format(request.path_params['path'])
     if request.url.query:
         path = '{}?{}'.format(path, request.url.query)
-    return orders.make_call_order(
+    return orders.make_call_request(
         service, path, request.method, request.headers
     )
 
@@ -106,6 +108,6 @@
     configuration = admission.find_configuration(parts.board)
     choice = choices.choose(parts, configuration, workspace, seen)
     if backend_request.token_limit:
-        job.hold = await choices.hold_first(
+        job.hold = await choices.hold_first_available(
             parts, job.context, choice, backend_request.token_limit
         )
--- a/src/dykemast/_internal/path/candidates.py
+++ b/src/dykemast/_internal/path/candidates.py
@@ -61,7 +61,7 @@
     )
 
 
-def note_sent(parts: Parts, job: Job, name: str) -> None:
+def record_sent(parts: Parts, job: Job, name: str) -> None:
     """Count a request as sent to a worker until its job ends.
 
     :param parts: parts of the router.
--- a/src/dykemast/_internal/path/chat.py
+++ b/src/dykemast/_internal/path/chat.py
@@ -32,11 +32,11 @@
     :raises RefusedError: when it is refused.
     """
     workspace = admission.find_workspace(parts.board, request.headers)
-    context = admission.make_ask(
+    context = admission.make_request_context(
         parts.board, workspace['name'], request, safe=True
     )
     fields = read_chat(body)
-    admission.check_room(parts.board, workspace, context)
+    admission.check_capacity(parts.board, workspace, context)
     job = Job(parts, context)
     try:
         exchange = await _begin(parts, job, fields, workspace)
@@ -66,13 +66,13 @@
     configuration = admission.find_configuration(parts.board)
     choice = choices.choose(parts, configuration, workspace, seen)
     backend_request = _choose_model(parts, configuration, choice, fields)
-    job.hold = await choices.hold_first(
+    job.hold = await choices.hold_first_available(
         parts, job.context, choice, backend_request.token_limit
     )
     return Exchange(
         job,
         backend_request,
-        await routes.send_order(parts, job, backend_request),
+        await routes.send_backend_request(parts, job, backend_request),
     )
 
 
@@ -85,7 +85,7 @@
     """Take the first chosen model that a worker has."""
     models = {model['name']: model for model in configuration['models']}
     made = [
-        orders.make_chat_order(fields, models[name], choice.decision.priority)
+        orders.make_chat_request(fields, models[name], choice.decision.priority)
         for name in choice.decision.models
         if name in models
     ]
--- a/src/dykemast/_internal/path/chat_answers.py
+++ b/src/dykemast/_internal/path/chat_answers.py
@@ -18,7 +18,7 @@
 from dykemast._internal.path import background, relays, routes
 from dykemast._internal.path.jobs import CUT, Job, Outcome
 from dykemast._internal.path.parts import RefusedError
-from dykemast._internal.path.seen_stream import SeenStream
+from dykemast._internal.path.seen_stream import StreamProgress
 
 _log = logbook.Logger('relay')
 
@@ -50,7 +50,7 @@
         )
     except (UpstreamError, asyncio.CancelledError) as error:
         exchange.upstream.response.close()
-        background.run_apart(
+        background.run_in_background(
             exchange.job.finish(
                 Outcome(
                     backend_request.token_limit,
@@ -64,10 +64,10 @@
         text = f'The answer broke off and is billed in full: {error}'
         refusal = Refusal(Code.upstream_failed, text, Ran.did_run)
         raise RefusedError(refusal) from error
-    return await _end_whole(exchange, body)
+    return await _finish_complete(exchange, body)
 
 
-async def _end_whole(exchange: Exchange, body: bytes) -> Response:
+async def _finish_complete(exchange: Exchange, body: bytes) -> Response:
     status = exchange.upstream.response.status
     usage = relays.find_usage(body)
     if usage is None:
@@ -99,43 +99,43 @@
 
 
 async def _relay(exchange: Exchange) -> AsyncIterator[bytes]:
-    seen = SeenStream()
+    progress = StreamProgress()
     response = exchange.upstream.response
     events = relays.read_events(response, exchange.job.context.deadline)
     try:
         async for event in events:
-            if seen.note(event):
+            if progress.record_event(event):
                 yield event.body
     except BaseException as error:
-        _end_cut(exchange, seen)
+        _finish_truncated(exchange, progress)
         _log.info(
             'relay: {} cut: {!r}', exchange.backend_request.service, error
         )
         raise
     response.close()
-    await _bill_stream(exchange, seen)
-    for body in seen.held:
+    await _bill_stream(exchange, progress)
+    for body in progress.held_events:
         yield body
 
 
-async def _bill_stream(exchange: Exchange, seen: SeenStream) -> None:
+async def _bill_stream(exchange: Exchange, progress: StreamProgress) -> None:
     usage = (
         exchange.backend_request.token_limit
-        if seen.usage is None
-        else seen.usage
+        if progress.usage is None
+        else progress.usage
     )
     await exchange.job.finish(Outcome(usage, usage))
 
 
-def _end_cut(exchange: Exchange, seen: SeenStream) -> None:
+def _finish_truncated(exchange: Exchange, progress: StreamProgress) -> None:
     backend_request = exchange.backend_request
     exchange.upstream.response.close()
     # Tokens may have been made that nobody has seen: the budget is charged
     # in full, the bill names what was delivered.
     billed = min(
         backend_request.token_limit,
-        backend_request.prompt_token_limit + seen.pieces,
+        backend_request.prompt_token_limit + progress.relayed_events,
     )
-    background.run_apart(
+    background.run_in_background(
         exchange.job.finish(Outcome(backend_request.token_limit, billed, CUT))
     )
--- a/src/dykemast/_internal/path/choices.py
+++ b/src/dykemast/_internal/path/choices.py
@@ -4,7 +4,7 @@
 
 import logbook
 
-from dykemast._internal.controllers.bills import MAX_KEPT
+from dykemast._internal.controllers.bills import MAX_KEPT_BILLS
 from dykemast._internal.models.requests import RequestContext, Code, Refusal
 from dykemast._internal.models.revisions import (
     Configuration,
@@ -69,7 +69,7 @@
     return next(one for one in configuration['policies'] if one['name'] == name)
 
 
-async def hold_first(
+async def hold_first_available(
     parts: Parts,
     context: RequestContext,
     choice: Choice,
@@ -111,6 +111,6 @@
     :param job: the request.
     :raises RefusedError: when too many bills wait already.
     """
-    if len(parts.bills.kept) >= MAX_KEPT:
+    if len(parts.bills.kept) >= MAX_KEPT_BILLS:
         text = 'Too many bills wait to be written.'
         raise RefusedError(Refusal(Code.platform_away, text, retry_after=5))
--- a/src/dykemast/_internal/path/claims.py
+++ b/src/dykemast/_internal/path/claims.py
@@ -14,7 +14,7 @@
 from dykemast._internal.utils.clock import read_time_of_day
 
 #: Seconds after which coming back may help when the journal is away.
-AWAY_RETRY: Final = 5
+UNAVAILABLE_RETRY_AFTER_S: Final = 5
 
 
 async def claim(parts: Parts, context: RequestContext) -> Entry | None:
@@ -37,7 +37,9 @@
         # The claim may yet be written. It then stands for this attempt, which
         # never runs, so a retry is told "may have run": safe, if too careful.
         text = 'Calls that may not be repeated wait for the platform.'
-        refusal = Refusal(Code.platform_away, text, retry_after=AWAY_RETRY)
+        refusal = Refusal(
+            Code.platform_away, text, retry_after=UNAVAILABLE_RETRY_AFTER_S
+        )
         raise RefusedError(refusal) from error
     if ack.verdict == Verdict.ours:
         return None
--- a/src/dykemast/_internal/path/entrances.py
+++ b/src/dykemast/_internal/path/entrances.py
@@ -15,10 +15,10 @@
 #: Requests that one server takes at a time, where not set.
 WORKER_SLOTS: Final = 64
 #: Seconds that a request waits for a slot at most.
-MAX_WAIT: Final = 1.0
+MAX_SLOT_WAIT_S: Final = 1.0
 
 
-async def enter_gate(
+async def wait_for_slot(
     parts: Parts, job: Job, backend_request: BackendRequest
 ) -> None:
     """Wait for a slot of the order's service; the job gives it back.
@@ -31,8 +31,8 @@
     gate = parts.gates.setdefault(backend_request.service, Gate())
     gate.slots = _count_slots(parts, backend_request)
     now = read_clock()
-    patience = min(MAX_WAIT, job.context.deadline - now)
-    if not await gate.enter(backend_request.priority, patience):
+    timeout_s = min(MAX_SLOT_WAIT_S, job.context.deadline - now)
+    if not await gate.enter(backend_request.priority, timeout_s):
         raise RefusedError(_refuse(gate, backend_request))
     entered = read_clock()
     job.on_release(lambda: gate.leave(read_clock() - entered))
--- a/src/dykemast/_internal/path/gates.py
+++ b/src/dykemast/_internal/path/gates.py
@@ -9,11 +9,11 @@
 import math
 from typing import Final
 
-from dykemast._internal.path.waiting import Waiter, WaitingLine
+from dykemast._internal.path.waiting import Waiter, WaitingQueue
 
 #: Share of the patience that the estimated wait may take: the estimate is a
 #: mean, and half of those at the very end of it would wait in vain.
-SURE_SHARE: Final = 0.6
+MAX_WAIT_SHARE: Final = 0.6
 #: Weight of a new duration in the running mean.
 DURATION_WEIGHT: Final = 0.05
 
@@ -26,7 +26,7 @@
         self.used = 0
         self.slots = 1
         self.duration = float(0)
-        self._line = WaitingLine()
+        self._queue = WaitingQueue()
 
     def estimate_wait(self, priority: int) -> float:
         """Estimate how long a new request would wait.
@@ -34,26 +34,26 @@
         :param priority: 0 to 9, 9 most urgent.
         :returns: seconds.
         """
-        before = self._line.count_before(priority)
+        before = self._queue.count_before(priority)
         if self.used < self.slots and not before:
             return 0
         return (before + 1) * self.duration / self.slots
 
-    async def enter(self, priority: int, patience: float) -> bool:
+    async def enter(self, priority: int, timeout_s: float) -> bool:
         """Wait for a slot.
 
         :param priority: 0 to 9, 9 most urgent.
-        :param patience: seconds to wait at most.
+        :param timeout_s: seconds to wait at most.
         :returns: whether there is one now; it is to be left again.
         """
-        if self.used < self.slots and not self._line:
+        if self.used < self.slots and not self._queue:
             self.used += 1
             return True
         # Who would most likely wait in vain is told so now, not later.
-        if self.estimate_wait(priority) > patience * SURE_SHARE:
+        if self.estimate_wait(priority) > timeout_s * MAX_WAIT_SHARE:
             return False
-        waiter = self._line.join(priority)
-        return waiter is not None and await self._wait(waiter, patience)
+        waiter = self._queue.join(priority)
+        return waiter is not None and await self._wait(waiter, timeout_s)
 
     def leave(self, seconds: float) -> None:
         """Give a slot back, and let the most urgent waiter in.
@@ -67,26 +67,26 @@
 
     def admit(self) -> None:
         """Let waiters in while there are slots."""
-        while self._line and self.used < self.slots:
+        while self._queue and self.used < self.slots:
             self.used += 1
-            self._line.pop().turn.set_result(True)
+            self._queue.pop().admitted.set_result(True)
 
-    async def _wait(self, waiter: Waiter, patience: float) -> bool:
+    async def _wait(self, waiter: Waiter, timeout_s: float) -> bool:
         try:
-            await asyncio.wait({waiter.turn}, timeout=patience)
+            await asyncio.wait({waiter.admitted}, timeout=timeout_s)
         except asyncio.CancelledError:
             self._give_up(waiter)
             raise
-        if waiter.turn.done():
-            return waiter.turn.result()
+        if waiter.admitted.done():
+            return waiter.admitted.result()
         self._give_up(waiter)
         return False
 
     def _give_up(self, waiter: Waiter) -> None:
-        if not waiter.turn.done():
-            waiter.turn.cancel()
-            self._line.drop(waiter)
-        elif waiter.turn.result():
+        if not waiter.admitted.done():
+            waiter.admitted.cancel()
+            self._queue.drop(waiter)
+        elif waiter.admitted.result():
             # It was let in at the very moment at which it went away.
             self.used -= 1
             self.admit()
--- a/src/dykemast/_internal/path/header_fields.py
+++ b/src/dykemast/_internal/path/header_fields.py
@@ -8,7 +8,7 @@
 from dykemast._internal.path.parts import RefusedError
 
 #: Seconds that a request may take when it names no deadline, and at most.
-MAX_DEADLINE: Final = 600.0
+MAX_DEADLINE_S: Final = 600.0
 #: Characters of a key at most.
 MAX_KEY: Final = 200
 
@@ -44,15 +44,15 @@
     :returns: seconds.
     :raises RefusedError: when the header makes no sense.
     """
-    text = headers.get('x-deadline', str(MAX_DEADLINE))
+    text = headers.get('x-deadline', str(MAX_DEADLINE_S))
     try:
         seconds = float(text)
     except ValueError as error:
         refusal = Refusal(Code.bad_request, 'X-Deadline is in seconds.')
         raise RefusedError(refusal) from error
-    if not 0 < seconds <= MAX_DEADLINE:
+    if not 0 < seconds <= MAX_DEADLINE_S:
         refusal = Refusal(
-            Code.bad_request, f'X-Deadline is 0 to {MAX_DEADLINE} seconds.'
+            Code.bad_request, f'X-Deadline is 0 to {MAX_DEADLINE_S} seconds.'
         )
         raise RefusedError(refusal)
     return seconds
--- a/src/dykemast/_internal/path/hold_refusals.py
+++ b/src/dykemast/_internal/path/hold_refusals.py
@@ -7,9 +7,9 @@
 from dykemast._internal.path.parts import Parts
 
 #: Seconds after which coming back may help when the platform is away.
-AWAY_RETRY: Final = 5
+UNAVAILABLE_RETRY_AFTER_S: Final = 5
 #: Seconds after which coming back may help when a budget is empty.
-EMPTY_RETRY: Final = 60
+EMPTY_RETRY_AFTER_S: Final = 60
 
 
 def is_empty(holder: Holder, tokens: int) -> bool:
@@ -35,10 +35,15 @@
     if is_empty(holder, tokens):
         text = f'Budget {budget} has no {tokens} tokens left; top it up.'
         return Refusal(
-            Code.budget_empty, text, Ran.not_run, retry_after=EMPTY_RETRY
+            Code.budget_empty,
+            text,
+            Ran.not_run,
+            retry_after=EMPTY_RETRY_AFTER_S,
         )
     if not parts.leases.find_renewer(budget).away:
         text = f'The last tokens of {budget} are held by other requests.'
         return Refusal(Code.budget_away, text, retry_after=1)
     text = f'No tokens of {budget} here while the platform is away.'
-    return Refusal(Code.budget_away, text, retry_after=AWAY_RETRY)
+    return Refusal(
+        Code.budget_away, text, retry_after=UNAVAILABLE_RETRY_AFTER_S
+    )
--- a/src/dykemast/_internal/path/holds.py
+++ b/src/dykemast/_internal/path/holds.py
@@ -18,7 +18,7 @@
 #: Seconds that a request waits for tokens of its budget at most. With a slow
 #: platform (0.6 s a call) a keeper that is passed over and two calls of its own
 #: take 2 s; with 2 s here some of these were refused for nothing.
-HOLD_WAIT: Final = 4.0
+HOLD_TIMEOUT_S: Final = 4.0
 
 
 class Wanted(NamedTuple):
@@ -49,8 +49,8 @@
         wanted.budget, wanted.terms, read_clock()
     )
     if not _take(holder, wanted.tokens):
-        limit = min(context.deadline, read_clock() + HOLD_WAIT)
-        await _wait_for_room(parts, holder, wanted.tokens, limit)
+        limit = min(context.deadline, read_clock() + HOLD_TIMEOUT_S)
+        await _wait_for_tokens(parts, holder, wanted.tokens, limit)
     _log.info(
         'hold: {} takes {} of {}, {} left.',
         context.request,
@@ -61,7 +61,7 @@
     return Hold(wanted.budget, holder, wanted.tokens)
 
 
-async def _wait_for_room(
+async def _wait_for_tokens(
     parts: Parts,
     holder: Holder,
     tokens: int,
@@ -73,7 +73,7 @@
         stack.callback(holder.usage.wait, -tokens)
         while read_clock() < limit:
             parts.leases.find_renewer(budget).kick.set()
-            await parts.leases.wait_news(limit - read_clock())
+            await parts.leases.wait_for_renewal(limit - read_clock())
             if _take(holder, tokens) or await _borrow(parts, holder, tokens):
                 return
             if is_empty(holder, tokens):
--- a/src/dykemast/_internal/path/jobs.py
+++ b/src/dykemast/_internal/path/jobs.py
@@ -78,15 +78,15 @@
             turn = await self._parts.turns.take(self.context.order_key)
             self.on_release(self._parts.turns.end, self.context.order_key, turn)
 
-    def on_release(self, act: Callable[..., None], *words: Any) -> None:
+    def on_release(self, act: Callable[..., None], *arguments: Any) -> None:
         """Have something done when the job lets go of everything.
 
         :param act: what to do.
-        :param words: its arguments.
+        :param arguments: its arguments.
         """
-        self._releases.callback(act, *words)
+        self._releases.callback(act, *arguments)
 
-    def charge_lost(self) -> bool:
+    def charge_failed_attempt(self) -> bool:
         """Charge an attempt whose usage is unknown; reserve for another.
 
         :returns: whether there was room for another.
--- a/src/dykemast/_internal/path/orders.py
+++ b/src/dykemast/_internal/path/orders.py
@@ -19,10 +19,10 @@
 MESSAGE_TOKENS: Final = 16
 #: Leading characters of a prompt that decide which worker has it cached.
 PREFIX_CHARACTERS: Final = 512
-_CAPS: Final = frozenset(('max_tokens', 'max_completion_tokens'))
+_OUTPUT_LIMITS: Final = frozenset(('max_tokens', 'max_completion_tokens'))
 #: Fields that end here: those of one connection, those for this router, and
 #: the fencing number, which only a router may say.
-_ENDS_HERE: Final = HOP_BY_HOP_HEADERS.union(
+_DROPPED_HEADERS: Final = HOP_BY_HOP_HEADERS.union(
     (
         'authorization',
         'host',
@@ -39,7 +39,7 @@
 )
 
 
-def make_chat_order(
+def make_chat_request(
     fields: dict[str, Any],
     model: ModelSpec,
     priority: int,
@@ -76,7 +76,7 @@
 def _fill_fields(
     fields: dict[str, Any], model: str, cap: int
 ) -> dict[str, Any]:
-    sent = {name: fields[name] for name in fields if name not in _CAPS}
+    sent = {name: fields[name] for name in fields if name not in _OUTPUT_LIMITS}
     if fields.get('stream'):
         sent['stream_options'] = {'include_usage': True}
     return {**sent, 'model': model, 'max_tokens': cap}
@@ -88,7 +88,7 @@
     return len(text.encode('utf-8', 'surrogatepass')) + overhead
 
 
-def make_call_order(
+def make_call_request(
     service: ServiceSpec,
     path: str,
     method: str,
@@ -102,9 +102,9 @@
     :param headers: of the caller's request.
     :returns: the order, without its body.
     """
-    ends_here = _ENDS_HERE | _list_of_connection(headers)
+    dropped = _DROPPED_HEADERS | _list_connection_headers(headers)
     passed = {
-        name: text for name, text in headers.items() if name not in ends_here
+        name: text for name, text in headers.items() if name not in dropped
     }
     return BackendRequest(
         service=service['name'],
@@ -117,13 +117,15 @@
     )
 
 
-def _list_of_connection(headers: Headers) -> set[str]:
+def _list_connection_headers(headers: Headers) -> set[str]:
     listed = ','.join(headers.getlist('connection')).lower().split(',')
     return {name.strip() for name in listed}
 
 
 def _choose_cap(fields: dict[str, Any], model: ModelSpec) -> int:
-    caps = [fields[name] for name in _CAPS if fields.get(name) is not None]
+    caps = [
+        fields[name] for name in _OUTPUT_LIMITS if fields.get(name) is not None
+    ]
     for cap in caps:
         if not isinstance(cap, int) or isinstance(cap, bool) or cap < 1:
             raise refuse_bad('"max_tokens" is a whole number above 0.')
--- a/src/dykemast/_internal/path/relays.py
+++ b/src/dykemast/_internal/path/relays.py
@@ -10,7 +10,7 @@
 from dykemast._internal.exceptions import UpstreamError
 
 #: Bytes of one event, or of one whole answer, at most.
-MAX_ANSWER: Final = 16_777_216
+MAX_RESPONSE_BYTES: Final = 16_777_216
 #: What ends an event of a stream.
 _EVENT_END: Final = b'\n\n'
 _END_MARKER: Final = b'data: [DONE]'
@@ -48,7 +48,7 @@
             yield event
             if event.last:
                 return
-        if len(rest) > MAX_ANSWER:
+        if len(rest) > MAX_RESPONSE_BYTES:
             raise UpstreamError('an event is too long.', sent=True)
     raise UpstreamError('the stream ended without its end marker.', sent=True)
 
@@ -95,7 +95,7 @@
     body = bytearray()
     async for chunk in read_chunks(response, deadline):
         body += chunk
-        if len(body) > MAX_ANSWER:
+        if len(body) > MAX_RESPONSE_BYTES:
             raise UpstreamError('the answer is too long.', sent=True)
     return bytes(body)
 
--- a/src/dykemast/_internal/path/replays.py
+++ b/src/dykemast/_internal/path/replays.py
@@ -11,7 +11,7 @@
 from dykemast._internal.path.parts import RefusedError
 
 #: Bytes of an answer that are recorded, to be given to a retry again.
-MAX_RECORDED: Final = 2048
+MAX_RECORDED_BYTES: Final = 2048
 _DROPPED: Final = frozenset(
     (
         'connection',
@@ -48,7 +48,7 @@
     :param body: its body.
     :returns: text to keep; empty when the answer is too large or no text.
     """
-    if len(body) > MAX_RECORDED:
+    if len(body) > MAX_RECORDED_BYTES:
         return ''
     kind = response.headers.get('content-type', _OTHER_KIND)
     try:
--- a/src/dykemast/_internal/path/routes.py
+++ b/src/dykemast/_internal/path/routes.py
@@ -14,8 +14,8 @@
     Refusal,
 )
 from dykemast._internal.operations.worker_load import Candidate
-from dykemast._internal.path.candidates import note_sent, rank_candidates
-from dykemast._internal.path.entrances import enter_gate
+from dykemast._internal.path.candidates import record_sent, rank_candidates
+from dykemast._internal.path.entrances import wait_for_slot
 from dykemast._internal.path.jobs import Job
 from dykemast._internal.path.parts import Parts, RefusedError
 from dykemast._internal.utils.clock import read_clock
@@ -23,9 +23,9 @@
 _log = logbook.Logger('route')
 
 #: Workers tried for one request at most.
-MAX_TRIES: Final = 3
+MAX_ATTEMPTS: Final = 3
 #: Seconds after which another worker may be there.
-WORKER_RETRY: Final = 2
+NO_WORKER_RETRY_AFTER_S: Final = 2
 
 
 class Upstream(NamedTuple):
@@ -39,7 +39,7 @@
     response: aiohttp.ClientResponse
 
 
-async def send_order(
+async def send_backend_request(
     parts: Parts, job: Job, backend_request: BackendRequest
 ) -> Upstream:
     """Send an order to the best worker, or to the next where that is safe.
@@ -50,17 +50,17 @@
     :returns: the answer that has begun.
     :raises RefusedError: when no worker gave one.
     """
-    await enter_gate(parts, job, backend_request)
+    await wait_for_slot(parts, job, backend_request)
     parts.breakers.record_request()
     ranked = rank_candidates(parts, backend_request)
     failure: UpstreamError | None = None
-    for candidate in ranked[:MAX_TRIES]:
+    for candidate in ranked[:MAX_ATTEMPTS]:
         if failure and not _may_retry(parts, job, failure):
             break
         try:
             return await _try_worker(parts, job, backend_request, candidate)
         except UpstreamError as error:
-            failure = _worse(failure, error)
+            failure = _choose_failure(failure, error)
     raise RefusedError(_refuse(job, backend_request, failure))
 
 
@@ -89,7 +89,7 @@
         _log.warning('route: {} failed: {}', job.context.request, error)
         raise
     parts.breakers.record_success(instance.name)
-    note_sent(parts, job, instance.name)
+    record_sent(parts, job, instance.name)
     return Upstream(instance, response)
 
 
@@ -101,10 +101,12 @@
         return False
     if not failure.sent:
         return True
-    return job.context.repeatable and job.charge_lost()
+    return job.context.repeatable and job.charge_failed_attempt()
 
 
-def _worse(before: UpstreamError | None, error: UpstreamError) -> UpstreamError:
+def _choose_failure(
+    before: UpstreamError | None, error: UpstreamError
+) -> UpstreamError:
     return before if before and before.sent else error
 
 
@@ -116,10 +118,14 @@
     if failure is None:
         wanted = backend_request.model or 'room'
         text = f'No worker of {backend_request.service} has {wanted} now.'
-        return Refusal(Code.no_worker, text, retry_after=WORKER_RETRY)
+        return Refusal(
+            Code.no_worker, text, retry_after=NO_WORKER_RETRY_AFTER_S
+        )
     ran = Ran.unknown if failure.sent else Ran.not_run
     if read_clock() >= job.context.deadline:
         text = 'The deadline passed before the backend server answered.'
         return Refusal(Code.too_late, text, ran)
     text = f'The backend server failed: {failure}'
-    return Refusal(Code.upstream_failed, text, ran, retry_after=WORKER_RETRY)
+    return Refusal(
+        Code.upstream_failed, text, ran, retry_after=NO_WORKER_RETRY_AFTER_S
+    )
--- a/src/dykemast/_internal/path/seen_stream.py
+++ b/src/dykemast/_internal/path/seen_stream.py
@@ -3,16 +3,16 @@
 from dykemast._internal.path.relays import Event
 
 
-class SeenStream:
+class StreamProgress:
     """What a relayed stream has shown so far, and the end that waits."""
 
     def __init__(self) -> None:
         """Start with nothing seen."""
-        self.pieces = 0
+        self.relayed_events = 0
         self.usage: int | None = None
-        self.held: list[bytes] = []
+        self.held_events: list[bytes] = []
 
-    def note(self, event: Event) -> bool:
+    def record_event(self, event: Event) -> bool:
         """Take in an event.
 
         :param event: the event.
@@ -21,7 +21,7 @@
         if event.usage is not None:
             self.usage = event.usage
         if event.last or event.usage is not None:
-            self.held.append(event.body)
+            self.held_events.append(event.body)
             return False
-        self.pieces += 1
+        self.relayed_events += 1
         return True
--- a/src/dykemast/_internal/path/waiting.py
+++ b/src/dykemast/_internal/path/waiting.py
@@ -13,22 +13,22 @@
     """One request that waits.
 
     :param rank: its priority, negative.
-    :param order: its place among those of the same rank.
-    :param turn: whether it is let in, once that is decided.
+    :param sequence: its place among those of the same rank.
+    :param admitted: whether it is let in, once that is decided.
     """
 
     rank: int
-    order: int
-    turn: asyncio.Future[bool]
+    sequence: int
+    admitted: asyncio.Future[bool]
 
 
-class WaitingLine:
+class WaitingQueue:
     """Bounded queue by priority."""
 
     def __init__(self) -> None:
         """Start with nobody waiting."""
         self._waiters: list[Waiter] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
 
     def __len__(self) -> int:
         """Count those who wait."""
@@ -53,8 +53,8 @@
             if -last.rank >= priority:
                 return None
             self.drop(last)
-            last.turn.set_result(False)
-        waiter = Waiter(-priority, next(self._order), asyncio.Future())
+            last.admitted.set_result(False)
+        waiter = Waiter(-priority, next(self._sequence), asyncio.Future())
         heapq.heappush(self._waiters, waiter)
         return waiter
 
--- a/tests/unit/test_call_headers.py
+++ b/tests/unit/test_call_headers.py
@@ -2,10 +2,10 @@
 
 from starlette.datastructures import Headers
 
-from dykemast._internal.path.orders import make_call_order
+from dykemast._internal.path.orders import make_call_request
 
 #: Each may be said by a caller, and none of them reaches the service.
-ENDING = (
+DROPPED = (
     (b'connection', b'close, X-Once'),
     (b'connection', b'x-twice'),
     (b'x-once', b'1'),
@@ -22,6 +22,6 @@
     # What `Connection` lists went on, and so did a fencing number, by which a
     # caller could have had a service refuse its router.
     service = {'name': 'orders', 'kind': 'plain'}
-    headers = Headers(raw=[*ENDING, *PASSED])
-    order = make_call_order(service, '/a', 'POST', headers)
+    headers = Headers(raw=[*DROPPED, *PASSED])
+    order = make_call_request(service, '/a', 'POST', headers)
     assert order.headers == {'accept': 'text/plain', 'x-app': '1'}
--- a/tests/unit/test_gates.py
+++ b/tests/unit/test_gates.py
@@ -6,7 +6,7 @@
 from dykemast._internal.path.waiting import MAX_WAITING
 
 
-async def take_turns() -> None:
+async def run_other_tasks() -> None:
     """Let all other tasks go on as far as they can."""
     for _ in range(5):
         await asyncio.sleep(0)
@@ -23,7 +23,7 @@
         gate.leave(0)
 
     tasks = [asyncio.create_task(enter(one)) for one in (1, 9, 5)]
-    await take_turns()
+    await run_other_tasks()
     gate.leave(0)
     await asyncio.gather(*tasks)
     assert entered == [9, 5, 1]
@@ -46,10 +46,10 @@
     waiting = [
         asyncio.create_task(gate.enter(5, 60)) for _ in range(MAX_WAITING)
     ]
-    await take_turns()
+    await run_other_tasks()
     assert not await gate.enter(5, 60)
     urgent = asyncio.create_task(gate.enter(6, 60))
-    await take_turns()
+    await run_other_tasks()
     assert [task.done() for task in waiting].count(True) == 1
     gate.leave(0)
     assert await urgent
@@ -62,9 +62,9 @@
     await gate.enter(5, 1)
     assert not await gate.enter(5, 0)
     cancelled = asyncio.create_task(gate.enter(5, 60))
-    await take_turns()
+    await run_other_tasks()
     cancelled.cancel()
-    await take_turns()
+    await run_other_tasks()
     gate.leave(0)
     assert gate.used == 0
 
--- a/tests/unit/test_router_loops.py
+++ b/tests/unit/test_router_loops.py
@@ -22,8 +22,8 @@
 from tests.unit.test_configuration import make_board
 from tools.polling import POLL
 
-PATIENCE = 5
-ANSWER_TIME = 2
+WAIT_TIMEOUT_S = 5
+ANSWER_TIMEOUT_S = 2
 
 
 @contextlib.asynccontextmanager
@@ -44,7 +44,7 @@
 
 async def wait_for(is_done: Callable[[], bool]) -> bool:
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not is_done():
                 await asyncio.sleep(POLL)
     return is_done()
@@ -80,12 +80,12 @@
     kind = keepers.LedgerKind(make_failing_ledger, list, 0)
     way = keepers.Keepers(make_board(), mock.Mock(), {'shard': kind})
     try:
-        async with asyncio.timeout(ANSWER_TIME):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             await way.commit_here('shard/0', ['first'])
     except PlatformError as error:
         assert 'AttributeError' in str(error)
     else:
         raise AssertionError('a write that failed was confirmed')
-    async with asyncio.timeout(ANSWER_TIME):
+    async with asyncio.timeout(ANSWER_TIMEOUT_S):
         assert await way.commit_here('shard/0', ['second']) == ['second']
     way.close()
--- a/tools/serving_mutations.py
+++ b/tools/serving_mutations.py
@@ -276,7 +276,7 @@
         'run a loop of the router once',
         'no loop ends silently',
         f'{_INTERNAL}/controllers/loops.py',
-        'start_loops([*loops, watch], assembly.parts.board.loops, _tell_end)',
+        'start_loops([*loops, watch], assembly.parts.board.loops, _log_end)',
         '[asyncio.create_task(one.run()) for one in loops]',
         'test_router_loops',
     ),
