--- a/src/dykemast/_internal/path/__init__.py
+++ b/src/dykemast/_internal/path/__init__.py
@@ -1,1 +1,1 @@
-"""Way of one request: entry, admission, hold, claim, route, relay, bill."""
+"""Path of a request: admission, hold, claim, routing, relay, bill."""
--- a/src/dykemast/_internal/path/admission.py
+++ b/src/dykemast/_internal/path/admission.py
@@ -1,4 +1,4 @@
-"""Who asks, for what, and whether there is room for another request."""
+"""Authenticate and admit requests, and read their headers."""
 
 from typing import Final
 
@@ -23,25 +23,24 @@
 )
 from dykemast._internal.utils.keys import hash_bearer, digests_match
 
-#: Requests of one workspace in progress at one router, where not set.
+#: Requests of one workspace in progress at one router, by default.
 DEFAULT_CONCURRENT_REQUESTS: Final = 512
-#: Requests in progress at one router at most.
 MAX_INFLIGHT: Final = 4096
-#: Seconds after which a caller that was refused for load should come back.
+#: Retry-After of refusals for load.
 BUSY_RETRY_AFTER_S: Final = 2
-#: Seconds after which a router that just started should be ready.
+#: Retry-After while a router starts.
 READY_RETRY_AFTER_S: Final = 3
-#: Seconds after which a caller that met a stopping router may try another: the
-#: least that the field can say.
+#: Retry-After of a stopping router: the least that the field can express, as
+#: other routers can serve the request at once.
 STOPPING_RETRY_AFTER_S: Final = 1
 
 
 def find_configuration(board: Blackboard) -> Configuration:
-    """Find the configuration in force.
+    """Get the configuration in force.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :returns: the configuration.
-    :raises RefusedError: when there is none yet.
+    :raises RefusedError: when none is in force yet.
     """
     if board.rules.revision is None:
         text = 'No configuration is in force yet.'
@@ -52,17 +51,17 @@
 
 
 def find_workspace(board: Blackboard, headers: Headers) -> WorkspaceSpec:
-    """Find whose key a request carries.
+    """Find the workspace whose key a request carries.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param headers: of the request.
     :returns: the workspace.
-    :raises RefusedError: when there is none.
+    :raises RefusedError: when no workspace has the key.
     """
     digest = hash_bearer(headers)
     found = None
     for workspace in find_configuration(board)['workspaces']:
-        # All are compared, so that the time taken tells nothing.
+        # Compares all, so that the time taken does not reveal a match.
         if digests_match(digest, workspace['key_sha256']):
             found = workspace
     if found is None:
@@ -78,14 +77,14 @@
     *,
     safe: bool,
 ) -> RequestContext:
-    """Read what the headers ask for.
-
-    :param board: the blackboard.
-    :param workspace: who asks.
-    :param request: the caller's request, with the id given to it.
-    :param safe: whether it may be repeated unless marked otherwise.
-    :returns: the request.
-    :raises RefusedError: when a header makes no sense.
+    """Make the context of a request from its headers.
+
+    :param board: shared state of the router.
+    :param workspace: name of the caller's workspace.
+    :param request: the caller's request, with its assigned id.
+    :param safe: whether it may be repeated unless a header says otherwise.
+    :returns: the request context.
+    :raises RefusedError: when a header is invalid or the request too old.
     """
     headers = request.headers
     name = request.state.request_id
@@ -111,13 +110,13 @@
 def check_capacity(
     board: Blackboard, workspace: WorkspaceSpec, context: RequestContext
 ) -> None:
-    """Check that one more request may run, and will end before the router.
+    """Check that one more request may run and ends before a planned stop.
 
-    :param board: the blackboard.
-    :param workspace: who asks.
-    :param context: the request.
+    :param board: shared state of the router.
+    :param workspace: the caller's workspace.
+    :param context: the request context.
     :raises RefusedError: when too many are in progress, or this router is
-        stopping and could cut the request off.
+        stopping and could cancel the request.
     """
     traffic = board.traffic
     plan = traffic.stop_plan
--- a/src/dykemast/_internal/path/background.py
+++ b/src/dykemast/_internal/path/background.py
@@ -1,4 +1,4 @@
-"""Work that outlives the caller's connection, e.g. a bill after a cut."""
+"""Background tasks that outlive the caller's connection."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,9 +8,9 @@
 
 
 def run_in_background(work: Coroutine[Any, Any, Any]) -> None:
-    """Run something to its end, whatever happens to the caller.
+    """Run a coroutine to its end, even if the caller disconnects.
 
-    :param work: what to run.
+    :param work: the coroutine.
     """
     task = asyncio.create_task(work)
     _running.add(task)
@@ -18,6 +18,6 @@
 
 
 async def wait_for_background() -> None:
-    """Wait until all such work is done."""
+    """Wait until all background tasks are done."""
     while _running:
         await asyncio.gather(*_running, return_exceptions=True)
--- a/src/dykemast/_internal/path/bodies.py
+++ b/src/dykemast/_internal/path/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, within bounds of size and time."""
+"""Read the bodies of callers' requests, bounded in size and time."""
 
 import asyncio
 from typing import Final
@@ -8,9 +8,7 @@
 from dykemast._internal.models.requests import Code, Refusal
 from dykemast._internal.path.parts import RefusedError
 
-#: Bytes of a caller's body at most.
 MAX_BODY_BYTES: Final = 1_048_576
-#: Seconds that a caller may take to send it.
 BODY_TIMEOUT_S: Final = 10.0
 
 
--- a/src/dykemast/_internal/path/call_answers.py
+++ b/src/dykemast/_internal/path/call_answers.py
@@ -1,4 +1,4 @@
-"""Answers of plain services: passed on after their bill is durable."""
+"""Responses of plain services, sent on once their bill is durable."""
 
 import asyncio
 
@@ -17,13 +17,13 @@
     job: Job,
     backend_request: requests.BackendRequest,
 ) -> Response:
-    """Send a call and pass its answer on.
+    """Send a call and return its response.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param job: the request.
-    :param backend_request: what to send.
-    :returns: the answer.
-    :raises RefusedError: when there is none, or it broke off.
+    :param backend_request: the request to send.
+    :returns: the response for the caller.
+    :raises RefusedError: when there is none, or it is truncated.
     """
     response = (
         await routes.send_backend_request(parts, job, backend_request)
--- a/src/dykemast/_internal/path/calls.py
+++ b/src/dykemast/_internal/path/calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, passed on as they are."""
+"""Calls of plain services, forwarded unchanged."""
 
 from typing import Any, Final
 
@@ -20,10 +20,10 @@
 async def serve_call(parts: Parts, request: Request, body: bytes) -> Response:
     """Serve one call of a plain service.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param request: the caller's request.
     :param body: its body.
-    :returns: the service's answer, or a recorded one.
+    :returns: the service's response, or a recorded one.
     :raises RefusedError: when it is refused.
     """
     workspace = admission.find_workspace(parts.board, request.headers)
--- a/src/dykemast/_internal/path/candidates.py
+++ b/src/dykemast/_internal/path/candidates.py
@@ -1,4 +1,4 @@
-"""Workers that could run an order, as this router sees them."""
+"""Backend servers that can serve a request, by the state cached here."""
 
 from dykemast._internal.models.fleet import LoadReport
 from dykemast._internal.models.requests import BackendRequest
@@ -13,11 +13,12 @@
 def list_candidates(
     parts: Parts, backend_request: BackendRequest
 ) -> list[Candidate]:
-    """List the workers that could run an order.
+    """List the backend servers that can serve a request.
 
-    :param parts: parts of the router.
-    :param backend_request: the order.
-    :returns: those that are of the service, have the model and stay.
+    :param parts: shared components of the router.
+    :param backend_request: the request to send.
+    :returns: servers of the service that have the model, do not leave, and
+        whose circuit breaker is closed.
     """
     board = parts.board
     reports = board.loads.reports
@@ -43,11 +44,11 @@
 def rank_candidates(
     parts: Parts, backend_request: BackendRequest
 ) -> list[Candidate]:
-    """Put the workers that could run an order in the order to try them.
+    """Rank the backend servers that can serve a request.
 
-    :param parts: parts of the router.
-    :param backend_request: the order.
-    :returns: the workers.
+    :param parts: shared components of the router.
+    :param backend_request: the request to send.
+    :returns: the servers, best first.
     """
     now = read_clock()
     ranking = RankingContext(
@@ -62,18 +63,18 @@
 
 
 def record_sent(parts: Parts, job: Job, name: str) -> None:
-    """Count a request as sent to a worker until its job ends.
+    """Count a request as in flight at a backend server until its job ends.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param job: the request.
-    :param name: instance id of the worker.
+    :param name: instance id of the server.
     """
     counts = parts.board.traffic.by_worker
     counts[name] = counts.get(name, 0) + 1
 
-    def forget() -> None:
+    def decrement() -> None:
         counts[name] -= 1
         if not counts[name]:
             counts.pop(name)
 
-    job.on_release(forget)
+    job.on_release(decrement)
--- a/src/dykemast/_internal/path/chat.py
+++ b/src/dykemast/_internal/path/chat.py
@@ -1,4 +1,4 @@
-"""Chat completions: from the caller's bytes to the begun answer."""
+"""Serve chat completions."""
 
 from typing import Any
 
@@ -25,10 +25,10 @@
 async def serve_chat(parts: Parts, request: Request, body: bytes) -> Response:
     """Serve one chat completion.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param request: the caller's request.
     :param body: its body.
-    :returns: the answer, streamed or whole.
+    :returns: the response, streamed or complete.
     :raises RefusedError: when it is refused.
     """
     workspace = admission.find_workspace(parts.board, request.headers)
@@ -82,7 +82,7 @@
     choice: choices.Choice,
     fields: dict[str, Any],
 ) -> BackendRequest:
-    """Take the first chosen model that a worker has."""
+    """Make a request for the first chosen model that a server has."""
     models = {model['name']: model for model in configuration['models']}
     made = [
         orders.make_chat_request(fields, models[name], choice.decision.priority)
@@ -96,6 +96,7 @@
         if list_candidates(parts, backend_request):
             return backend_request
         _log.info(
-            'policy: no worker has {}, falls back.', backend_request.model
+            'policy: no backend server has model {}; trying the next one.',
+            backend_request.model,
         )
     return made[0]
--- a/src/dykemast/_internal/path/chat_answers.py
+++ b/src/dykemast/_internal/path/chat_answers.py
@@ -1,4 +1,4 @@
-"""Answers of chat completions: relayed, settled, and ended by their bill."""
+"""Relay responses of chat completions and bill them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -24,11 +24,11 @@
 
 
 class Exchange(NamedTuple):
-    """An order that is being answered.
+    """A backend request and its response in progress.
 
     :param job: the request.
-    :param backend_request: what was sent.
-    :param upstream: the answer that has begun.
+    :param backend_request: the request that was sent.
+    :param upstream: the response, with its body unread.
     """
 
     job: Job
@@ -37,11 +37,11 @@
 
 
 async def answer_whole(exchange: Exchange) -> Response:
-    """Answer at once what the engine answered at once.
+    """Return a response that is not streamed.
 
-    :param exchange: the order and its begun answer.
-    :returns: the answer, after its bill is durable.
-    :raises RefusedError: when the engine's answer broke off.
+    :param exchange: the backend request and its response.
+    :returns: the response, once its bill is durable.
+    :raises RefusedError: when the engine's response is truncated.
     """
     backend_request = exchange.backend_request
     try:
@@ -71,8 +71,8 @@
     status = exchange.upstream.response.status
     usage = relays.find_usage(body)
     if usage is None:
-        # An answer of this kind without usage is the engine's word that the
-        # order made no sense; else what is not reported is charged in full.
+        # An error without usage means that the engine rejected the request and
+        # consumed nothing. A success without usage is charged in full.
         bad = status >= HTTPStatus.BAD_REQUEST
         usage = 0 if bad else exchange.backend_request.token_limit
     verdict = await exchange.job.finish(Outcome(usage, usage))
@@ -85,10 +85,11 @@
 
 
 def answer_stream(exchange: Exchange) -> Response:
-    """Answer piece by piece.
+    """Return a streamed response.
 
-    :param exchange: the order and its begun answer.
-    :returns: the answer; its end marker waits for the bill.
+    :param exchange: the backend request and its response.
+    :returns: the response; its end marker is sent once the bill is
+        durable.
     """
     return StreamingResponse(
         _relay(exchange),
@@ -109,7 +110,9 @@
     except BaseException as error:
         _finish_truncated(exchange, progress)
         _log.info(
-            'relay: {} cut: {!r}', exchange.backend_request.service, error
+            'relay: stream of {} truncated: {!r}',
+            exchange.backend_request.service,
+            error,
         )
         raise
     response.close()
@@ -130,8 +133,8 @@
 def _finish_truncated(exchange: Exchange, progress: StreamProgress) -> None:
     backend_request = exchange.backend_request
     exchange.upstream.response.close()
-    # Tokens may have been made that nobody has seen: the budget is charged
-    # in full, the bill names what was delivered.
+    # The engine may have generated tokens that were not relayed: the budget
+    # is charged in full, the bill states what was delivered.
     billed = min(
         backend_request.token_limit,
         backend_request.prompt_token_limit + progress.relayed_events,
--- a/src/dykemast/_internal/path/chat_bodies.py
+++ b/src/dykemast/_internal/path/chat_bodies.py
@@ -1,4 +1,4 @@
-"""Chat completion requests as callers send them."""
+"""Parse and validate chat completion requests."""
 
 import json
 from typing import Any
@@ -8,11 +8,11 @@
 
 
 def read_chat(body: bytes) -> dict[str, Any]:
-    """Read a chat completion request.
+    """Parse a chat completion request.
 
     :param body: as the caller sent it.
     :returns: its fields.
-    :raises RefusedError: when it is none.
+    :raises RefusedError: when it is invalid.
     """
     try:
         fields = json.loads(body)
@@ -45,7 +45,7 @@
 
 
 def refuse_bad(text: str) -> RefusedError:
-    """Make the refusal of a request that makes no sense.
+    """Make the refusal of an invalid request.
 
     :param text: what is wrong.
     :returns: the error to raise.
--- a/src/dykemast/_internal/path/choices.py
+++ b/src/dykemast/_internal/path/choices.py
@@ -1,4 +1,4 @@
-"""What the workspace's policy chooses for a request."""
+"""Apply the workspace's policy to a request."""
 
 from typing import Any, NamedTuple
 
@@ -28,8 +28,8 @@
 class Choice(NamedTuple):
     """A policy's decision about one request.
 
-    :param workspace: who asks.
-    :param decision: what the policy says.
+    :param workspace: the caller's workspace.
+    :param decision: result of the policy.
     """
 
     workspace: WorkspaceSpec
@@ -42,13 +42,13 @@
     workspace: WorkspaceSpec,
     request: dict[str, Any],
 ) -> Choice:
-    """Run the workspace's policy.
+    """Evaluate the workspace's policy.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param configuration: in force.
-    :param workspace: who asks.
-    :param request: what the policy sees as ``request``.
-    :returns: what it decides.
+    :param workspace: the caller's workspace.
+    :param request: the value of ``request`` in the policy.
+    :returns: its decision.
     :raises RefusedError: when it fails or does not allow the request.
     """
     view = policy_views.view_all(parts, workspace['name'], request)
@@ -58,7 +58,7 @@
     except PolicyError as error:
         text = f'The policy of the workspace failed: {error.field}: {error}'
         raise RefusedError(Refusal(Code.policy_failed, text)) from error
-    _log.info('policy: {} says {}.', workspace['policy'], decision)
+    _log.info('policy: {} decided {}.', workspace['policy'], decision)
     if decision.allow:
         return Choice(workspace, decision)
     text = 'The policy of the workspace does not allow this request.'
@@ -75,14 +75,14 @@
     choice: Choice,
     tokens: int,
 ) -> Hold:
-    """Reserve tokens of the first chosen budget that has room.
+    """Reserve tokens of the first chosen budget that has enough.
 
-    :param parts: parts of the router.
-    :param context: the request.
-    :param choice: which budgets may be drawn on.
-    :param tokens: how many.
+    :param parts: shared components of the router.
+    :param context: the request context.
+    :param choice: decision that lists the budgets.
+    :param tokens: tokens to reserve.
     :returns: the hold.
-    :raises RefusedError: when no budget has room.
+    :raises RefusedError: when no budget has enough tokens.
     """
     terms = _choose_terms(parts, choice.workspace)
     failure = RefusedError(Refusal(Code.budget_empty, 'No budget is named.'))
@@ -91,7 +91,9 @@
         try:
             return await take_hold(parts, context, wanted)
         except RefusedError as error:
-            _log.info('policy: {} finds no room in {}.', context.request, name)
+            _log.info(
+                'policy: {} got no tokens of budget {}.', context.request, name
+            )
             failure = error
     raise failure
 
@@ -105,11 +107,11 @@
 
 
 def check_journal(parts: Parts, job: Job) -> None:
-    """Check that a bill for this request could be kept.
+    """Check that a bill for this request could be kept in memory.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param job: the request.
-    :raises RefusedError: when too many bills wait already.
+    :raises RefusedError: when too many bills wait for the journal.
     """
     if len(parts.bills.kept) >= MAX_KEPT_BILLS:
         text = 'Too many bills wait to be written.'
--- a/src/dykemast/_internal/path/claims.py
+++ b/src/dykemast/_internal/path/claims.py
@@ -1,4 +1,4 @@
-"""Claim a request that may run only once, before it is sent."""
+"""Claim the key of a request that must run only once."""
 
 from typing import Final
 
@@ -13,15 +13,15 @@
 from dykemast._internal.path.parts import Parts, RefusedError
 from dykemast._internal.utils.clock import read_time_of_day
 
-#: Seconds after which coming back may help when the journal is away.
+#: Retry-After while the journal is unavailable.
 UNAVAILABLE_RETRY_AFTER_S: Final = 5
 
 
 async def claim(parts: Parts, context: RequestContext) -> Entry | None:
     """Claim the key of a request that may not be repeated.
 
-    :param parts: parts of the router.
-    :param context: the request.
+    :param parts: shared components of the router.
+    :param context: the request context.
     :returns: the recorded outcome, when an earlier attempt has one.
     :raises RefusedError: when the request must not run now.
     """
@@ -34,8 +34,8 @@
     try:
         ack = await parts.bills.claim(entry)
     except PlatformError as error:
-        # The claim may yet be written. It then stands for this attempt, which
-        # never runs, so a retry is told "may have run": safe, if too careful.
+        # The claim may still be written, for an attempt that never runs. A
+        # retry then gets "may have run", which is safe.
         text = 'Calls that may not be repeated wait for the platform.'
         refusal = Refusal(
             Code.platform_away, text, retry_after=UNAVAILABLE_RETRY_AFTER_S
--- a/src/dykemast/_internal/path/entrances.py
+++ b/src/dykemast/_internal/path/entrances.py
@@ -1,4 +1,4 @@
-"""Let a request into its service, or refuse it for load."""
+"""Wait for a slot of a service, or refuse the request for load."""
 
 import math
 from typing import Final
@@ -12,21 +12,20 @@
 from dykemast._internal.path.parts import Parts, RefusedError
 from dykemast._internal.utils.clock import read_clock
 
-#: Requests that one server takes at a time, where not set.
+#: Concurrent requests of one backend server, by default.
 WORKER_SLOTS: Final = 64
-#: Seconds that a request waits for a slot at most.
 MAX_SLOT_WAIT_S: Final = 1.0
 
 
 async def wait_for_slot(
     parts: Parts, job: Job, backend_request: BackendRequest
 ) -> None:
-    """Wait for a slot of the order's service; the job gives it back.
+    """Wait for a slot of the service; the job releases it.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param job: the request.
-    :param backend_request: what it wants to send.
-    :raises RefusedError: when there will be none soon enough.
+    :param backend_request: the request to send.
+    :raises RefusedError: when none is free in time.
     """
     gate = parts.gates.setdefault(backend_request.service, Gate())
     gate.slots = _count_slots(parts, backend_request)
--- a/src/dykemast/_internal/path/entries.py
+++ b/src/dykemast/_internal/path/entries.py
@@ -1,4 +1,4 @@
-"""What callers ask before they send work: addresses, models, health."""
+"""Endpoints for router addresses, models and health."""
 
 from http import HTTPStatus
 from typing import Any
@@ -14,11 +14,11 @@
 
 
 async def serve_entry(parts: Parts, _: Request, body: bytes) -> Response:
-    """Answer which addresses to use.
+    """Return the router addresses to use.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param body: not used.
-    :returns: the answer.
+    :returns: the response.
     """
     board = parts.board
     cards = list_cards(board, read_clock())
@@ -28,11 +28,11 @@
 
 
 async def serve_models(parts: Parts, _: Request, body: bytes) -> Response:
-    """Answer which models there are, in the usual shape.
+    """List the models in the format of the OpenAI API.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param body: not used.
-    :returns: the answer.
+    :returns: the response.
     """
     models = [
         {'id': model['name'], 'object': 'model', 'owned_by': model['service']}
@@ -42,23 +42,23 @@
 
 
 async def serve_live(parts: Parts, _: Request, body: bytes) -> Response:
-    """Answer that the process runs.
+    """Report that the process runs.
 
     :param parts: not used.
     :param body: not used.
-    :returns: the answer.
+    :returns: the response.
     """
     return JSONResponse({'live': True})
 
 
 async def serve_ready(parts: Parts, _: Request, body: bytes) -> Response:
-    """Answer whether callers should be sent here.
+    """Report whether callers should send requests here.
 
-    Not to a router in which a loop fails each time it runs.
+    A router is not ready while a background loop fails each time it runs.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param body: not used.
-    :returns: the answer.
+    :returns: the response.
     """
     board = parts.board
     known = board.rules.revision is not None
--- a/src/dykemast/_internal/path/gates.py
+++ b/src/dykemast/_internal/path/gates.py
@@ -1,8 +1,7 @@
-"""Slots of a service at this router, and the queue before them.
+"""Slots of a service at this router, with a priority queue.
 
-Urgent requests come first. A request that cannot have a slot within its
-patience, judged by the times that requests took lately, is refused at once
-and told when to come back.
+A request that is unlikely to get a slot within its timeout, judged by the
+mean duration of recent requests, is refused at once with a Retry-After.
 """
 
 import asyncio
@@ -11,8 +10,8 @@
 
 from dykemast._internal.path.waiting import Waiter, WaitingQueue
 
-#: Share of the patience that the estimated wait may take: the estimate is a
-#: mean, and half of those at the very end of it would wait in vain.
+#: Share of the timeout that the estimated wait may take. The estimate is a
+#: mean: at a share of 1, half of the last requests would time out.
 MAX_WAIT_SHARE: Final = 0.6
 #: Weight of a new duration in the running mean.
 DURATION_WEIGHT: Final = 0.05
@@ -22,7 +21,7 @@
     """Slots of one service."""
 
     def __init__(self) -> None:
-        """Start with nobody inside."""
+        """Make a gate with one slot, unused."""
         self.used = 0
         self.slots = 1
         self.duration = float(0)
@@ -43,22 +42,22 @@
         """Wait for a slot.
 
         :param priority: 0 to 9, 9 most urgent.
-        :param timeout_s: seconds to wait at most.
-        :returns: whether there is one now; it is to be left again.
+        :param timeout_s: longest wait in seconds.
+        :returns: whether a slot was taken; release it with :meth:`leave`.
         """
         if self.used < self.slots and not self._queue:
             self.used += 1
             return True
-        # Who would most likely wait in vain is told so now, not later.
+        # Refuses at once what would most likely time out.
         if self.estimate_wait(priority) > timeout_s * MAX_WAIT_SHARE:
             return False
         waiter = self._queue.join(priority)
         return waiter is not None and await self._wait(waiter, timeout_s)
 
     def leave(self, seconds: float) -> None:
-        """Give a slot back, and let the most urgent waiter in.
+        """Release a slot, and admit the most urgent waiter.
 
-        :param seconds: how long it was used.
+        :param seconds: how long the slot was used.
         """
         weight = DURATION_WEIGHT if self.duration else 1
         self.duration += (seconds - self.duration) * weight
@@ -66,7 +65,7 @@
         self.admit()
 
     def admit(self) -> None:
-        """Let waiters in while there are slots."""
+        """Admit waiters while slots are free."""
         while self._queue and self.used < self.slots:
             self.used += 1
             self._queue.pop().admitted.set_result(True)
@@ -87,17 +86,17 @@
             waiter.admitted.cancel()
             self._queue.drop(waiter)
         elif waiter.admitted.result():
-            # It was let in at the very moment at which it went away.
+            # Admitted just as it timed out or was cancelled.
             self.used -= 1
             self.admit()
 
 
 def count_slots(workers: int, worker_slots: int, routers: int) -> int:
-    """Find this router's part of a service's slots.
+    """Compute this router's share of a service's slots.
 
-    :param workers: servers of the service that stay.
-    :param worker_slots: requests that one of them takes at a time.
-    :param routers: routers that share them.
+    :param workers: backend servers of the service that do not leave.
+    :param worker_slots: concurrent requests of one server.
+    :param routers: routers that share the servers.
     :returns: at least 1.
     """
     share = workers * worker_slots / max(1, routers)
--- a/src/dykemast/_internal/path/header_fields.py
+++ b/src/dykemast/_internal/path/header_fields.py
@@ -1,4 +1,4 @@
-"""Headers by which callers say how a request may run."""
+"""Parse the headers that control how a request runs."""
 
 from typing import Final
 
@@ -7,17 +7,17 @@
 from dykemast._internal.models.requests import Code, Refusal
 from dykemast._internal.path.parts import RefusedError
 
-#: Seconds that a request may take when it names no deadline, and at most.
+#: Upper bound of X-Deadline, and its default.
 MAX_DEADLINE_S: Final = 600.0
-#: Characters of a key at most.
+#: Largest number of characters in a key.
 MAX_KEY: Final = 200
 
 
 def is_key(text: str) -> bool:
-    """Tell whether a text can be a key.
+    """Check whether a text is a valid key.
 
     :param text: from a header.
-    :returns: whether it can.
+    :returns: whether it is valid.
     """
     return len(text) <= MAX_KEY and text.isprintable()
 
@@ -26,9 +26,9 @@
     """Read whether a request may be repeated.
 
     :param headers: of the request.
-    :param safe: whether it may unless marked otherwise.
-    :returns: whether it may.
-    :raises RefusedError: when the mark makes no sense.
+    :param safe: whether it may be repeated without the header.
+    :returns: whether it may be repeated.
+    :raises RefusedError: when the header is invalid.
     """
     mark = headers.get('x-repeatable', '').lower()
     if mark not in {'', 'yes', 'no'}:
@@ -42,7 +42,7 @@
 
     :param headers: of the request.
     :returns: seconds.
-    :raises RefusedError: when the header makes no sense.
+    :raises RefusedError: when the header is invalid.
     """
     text = headers.get('x-deadline', str(MAX_DEADLINE_S))
     try:
--- a/src/dykemast/_internal/path/hold_refusals.py
+++ b/src/dykemast/_internal/path/hold_refusals.py
@@ -1,4 +1,4 @@
-"""Why there was no room in a budget, told truthfully."""
+"""Refusals of requests that got no tokens of a budget."""
 
 from typing import Final
 
@@ -6,29 +6,29 @@
 from dykemast._internal.operations.holder import Holder
 from dykemast._internal.path.parts import Parts
 
-#: Seconds after which coming back may help when the platform is away.
+#: Retry-After while the platform is unavailable.
 UNAVAILABLE_RETRY_AFTER_S: Final = 5
-#: Seconds after which coming back may help when a budget is empty.
+#: Retry-After of an empty budget.
 EMPTY_RETRY_AFTER_S: Final = 60
 
 
 def is_empty(holder: Holder, tokens: int) -> bool:
-    """Tell whether a whole budget has too little left for a request.
+    """Check whether a budget has too few tokens left for a request.
 
-    :param holder: this router's lease of it.
-    :param tokens: what the request needs.
-    :returns: whether that is known.
+    :param holder: this router's lease of the budget.
+    :param tokens: tokens that the request needs.
+    :returns: whether that is confirmed.
     """
     ack = holder.lease.ack
     return ack is not None and ack.unspent < tokens
 
 
 def refuse_hold(parts: Parts, holder: Holder, tokens: int) -> Refusal:
-    """Say why a request got no tokens.
+    """Make the refusal of a request that got no tokens.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param holder: this router's lease.
-    :param tokens: what the request needs.
+    :param tokens: tokens that the request needs.
     :returns: the refusal.
     """
     budget = holder.owner.budget
--- a/src/dykemast/_internal/path/holds.py
+++ b/src/dykemast/_internal/path/holds.py
@@ -1,4 +1,4 @@
-"""Reserve tokens for a request before anything is sent."""
+"""Reserve tokens for a request before it is sent."""
 
 import contextlib
 from typing import Final, NamedTuple
@@ -15,17 +15,16 @@
 
 _log = logbook.Logger('hold')
 
-#: Seconds that a request waits for tokens of its budget at most. With a slow
-#: platform (0.6 s a call) a keeper that is passed over and two calls of its own
-#: take 2 s; with 2 s here some of these were refused for nothing.
+#: With a slow platform (0.6 s a call), a shard owner that times out and two
+#: calls of this router take 2 s; a timeout of 2 s refused such requests.
 HOLD_TIMEOUT_S: Final = 4.0
 
 
 class Wanted(NamedTuple):
-    """What a request wants to reserve.
+    """Tokens that a request needs to reserve.
 
     :param budget: full name of the budget.
-    :param terms: settings of a new lease.
+    :param terms: terms of a new lease.
     :param tokens: upper bound of what the request can consume.
     """
 
@@ -39,11 +38,11 @@
 ) -> Hold:
     """Reserve tokens of one budget.
 
-    :param parts: parts of the router.
-    :param context: the request.
-    :param wanted: how many, and of which.
+    :param parts: shared components of the router.
+    :param context: the request context.
+    :param wanted: tokens to reserve, and their budget.
     :returns: the hold.
-    :raises RefusedError: when there is no room.
+    :raises RefusedError: when too few tokens are available.
     """
     holder = parts.leases.lease_registry.get_holder(
         wanted.budget, wanted.terms, read_clock()
@@ -52,7 +51,7 @@
         limit = min(context.deadline, read_clock() + HOLD_TIMEOUT_S)
         await _wait_for_tokens(parts, holder, wanted.tokens, limit)
     _log.info(
-        'hold: {} takes {} of {}, {} left.',
+        'hold: {} reserved {} tokens of {}, {} available.',
         context.request,
         wanted.tokens,
         wanted.budget,
--- a/src/dykemast/_internal/path/jobs.py
+++ b/src/dykemast/_internal/path/jobs.py
@@ -1,4 +1,4 @@
-"""One request from its admission to its bill."""
+"""State of one request from its admission to its bill."""
 
 import asyncio
 import contextlib
@@ -18,9 +18,9 @@
 
 _log = logbook.Logger('bill')
 
-#: Outcome of an answer that reached its end.
+#: Outcome of a complete response.
 WHOLE: Final = 'whole'
-#: Outcome of an answer that broke off.
+#: Outcome of a truncated response.
 CUT: Final = 'cut'
 
 
@@ -29,7 +29,7 @@
 
     :param budget: name of the budget.
     :param holder: the lease they are reserved in.
-    :param tokens: how many.
+    :param tokens: number of tokens.
     """
 
     budget: str
@@ -44,7 +44,7 @@
         backend server did not report.
     :param billed: tokens on the bill.
     :param text: ``whole``, ``cut`` or why it failed.
-    :param answer: short answer to replay, or empty.
+    :param answer: recorded response to replay, or empty.
     """
 
     charged: int
@@ -54,10 +54,10 @@
 
 
 class Job:
-    """What a request has taken, to be given back exactly once.
+    """Resources held by a request, released exactly once.
 
-    :param parts: parts of the router.
-    :param context: the request.
+    :param parts: shared components of the router.
+    :param context: the request context.
     """
 
     def __init__(self, parts: Parts, context: RequestContext) -> None:
@@ -73,23 +73,23 @@
         traffic.by_workspace[context.workspace] = mine + 1
 
     async def wait_turn(self) -> None:
-        """Wait for the requests before it that ask for the same order."""
+        """Wait for earlier requests with the same order key."""
         if self.context.order_key:
             turn = await self._parts.turns.take(self.context.order_key)
             self.on_release(self._parts.turns.end, self.context.order_key, turn)
 
     def on_release(self, act: Callable[..., None], *arguments: Any) -> None:
-        """Have something done when the job lets go of everything.
+        """Register a callback for the release of the job.
 
-        :param act: what to do.
+        :param act: the callback.
         :param arguments: its arguments.
         """
         self._releases.callback(act, *arguments)
 
     def charge_failed_attempt(self) -> bool:
-        """Charge an attempt whose usage is unknown; reserve for another.
+        """Charge a failed attempt in full and reserve tokens for a retry.
 
-        :returns: whether there was room for another.
+        :returns: whether tokens for a retry were available.
         """
         hold = self.hold
         if hold is None or not hold.tokens:
@@ -101,7 +101,7 @@
         return False
 
     async def finish(self, outcome: Outcome) -> Verdict:
-        """Settle the hold, write the bill and let go of everything.
+        """Settle the hold, write the bill and release the job.
 
         :param outcome: how the attempt ended.
         :returns: whether the bill stands, or an earlier one does.
@@ -109,13 +109,13 @@
         budget = self.hold.budget if self.hold else ''
         self._settle(outcome.charged)
         entry = _make_entry(self.context, budget, outcome)
-        # A caller who goes away now must not take the bill along.
+        # A caller that disconnects now must not cancel the bill.
         recording = asyncio.ensure_future(self._parts.bills.record(entry))
         recording.add_done_callback(lambda _: self.release())
         return await asyncio.shield(recording)
 
     def release(self) -> None:
-        """Let go of everything; nothing was consumed after the last charge."""
+        """Release all resources, charging nothing more."""
         if self._released:
             return
         self._released = True
@@ -135,7 +135,7 @@
         hold.holder.usage.settle(hold.tokens, charged)
         if charged > hold.tokens:
             _log.error(
-                'bill: {} consumed {} with a hold of {}.',
+                'bill: {} consumed {} tokens, more than its hold of {}.',
                 self.context.request,
                 charged,
                 hold.tokens,
--- a/src/dykemast/_internal/path/orders.py
+++ b/src/dykemast/_internal/path/orders.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers, made of callers' requests."""
+"""Make requests to backend servers from callers' requests."""
 
 import json
 from typing import Any, Final
@@ -11,17 +11,17 @@
 from dykemast._internal.path.chat_bodies import refuse_bad
 from dykemast._internal.utils.hop_by_hop_headers import HOP_BY_HOP_HEADERS
 
-#: Path of the chat completions, here and at the engines.
+#: Path of chat completions, at routers and at engines.
 CHAT_PATH: Final = '/v1/chat/completions'
-#: Tokens that an engine's template may add to a prompt.
+#: Upper bound of what an engine's template adds to a prompt.
 TEMPLATE_TOKENS: Final = 64
-#: Tokens that it may add for each message.
+#: Upper bound of what it adds for each message.
 MESSAGE_TOKENS: Final = 16
-#: Leading characters of a prompt that decide which worker has it cached.
+#: Leading characters of a prompt that decide which server has it cached.
 PREFIX_CHARACTERS: Final = 512
 _OUTPUT_LIMITS: Final = frozenset(('max_tokens', 'max_completion_tokens'))
-#: Fields that end here: those of one connection, those for this router, and
-#: the fencing number, which only a router may say.
+#: Headers that are not forwarded: hop-by-hop headers, those for this router,
+#: and the fencing number, which only a router may set.
 _DROPPED_HEADERS: Final = HOP_BY_HOP_HEADERS.union(
     (
         'authorization',
@@ -44,16 +44,16 @@
     model: ModelSpec,
     priority: int,
 ) -> BackendRequest:
-    """Make the order for a model.
+    """Make the backend request for a model.
 
-    The output cap is always sent, and the prompt cannot have more tokens
+    The output limit is always sent, and the prompt cannot have more tokens
     than bytes, so the hold bounds what the engine can consume.
 
     :param fields: of the caller's request.
     :param model: the model to use.
     :param priority: 0 to 9.
-    :returns: the order.
-    :raises RefusedError: when the caller's cap makes no sense.
+    :returns: the backend request.
+    :raises RefusedError: when the caller's output limit is invalid.
     """
     cap = _choose_cap(fields, model)
     sent = _fill_fields(fields, model['name'], cap)
@@ -94,13 +94,13 @@
     method: str,
     headers: Headers,
 ) -> BackendRequest:
-    """Make the order for a call of a plain service.
+    """Make the backend request for a call of a plain service.
 
     :param service: the service.
     :param path: path and query to call.
     :param method: HTTP method.
     :param headers: of the caller's request.
-    :returns: the order, without its body.
+    :returns: the backend request, without its body.
     """
     dropped = _DROPPED_HEADERS | _list_connection_headers(headers)
     passed = {
--- a/src/dykemast/_internal/path/parts.py
+++ b/src/dykemast/_internal/path/parts.py
@@ -1,4 +1,4 @@
-"""What the way of a request needs of the rest of the router."""
+"""Components that serve requests share."""
 
 import random
 from typing import NamedTuple
@@ -16,16 +16,16 @@
 
 
 class Parts(NamedTuple):
-    """Parts of the router that a request meets.
+    """Shared components of the router.
 
-    :param board: the blackboard.
-    :param leases: leased tokens.
-    :param lending: tokens of other routers.
-    :param bills: the journal.
+    :param board: shared state.
+    :param leases: leases of budgets.
+    :param lending: loans of tokens between routers.
+    :param bills: writer of bills.
     :param backends: sessions with backend servers.
-    :param breakers: failures of backend servers.
-    :param turns: queues of requests that run in order.
-    :param gates: slots of the services, by their names.
+    :param breakers: circuit breakers of backend servers.
+    :param turns: queues of requests with an order key.
+    :param gates: slots of services, by service name.
     :param chance: source of randomness.
     """
 
@@ -43,10 +43,10 @@
 class RefusedError(DykemastError):
     """A request is refused.
 
-    :param refusal: what the caller is told.
+    :param refusal: the refusal that the caller gets.
     """
 
     def __init__(self, refusal: Refusal) -> None:
-        """Keep the refusal."""
+        """Make the error from the refusal."""
         super().__init__(refusal.text)
         self.refusal = refusal
--- a/src/dykemast/_internal/path/policy_views.py
+++ b/src/dykemast/_internal/path/policy_views.py
@@ -1,4 +1,4 @@
-"""What a policy sees."""
+"""Values that policies are evaluated with."""
 
 from collections import Counter
 from typing import Any
@@ -11,11 +11,11 @@
     workspace: str,
     request: dict[str, Any],
 ) -> dict[str, Any]:
-    """Show a policy everything it may use.
+    """Make all values for a policy.
 
-    :param parts: parts of the router.
-    :param workspace: name of the workspace that asks.
-    :param request: what it sees of the request.
+    :param parts: shared components of the router.
+    :param workspace: name of the caller's workspace.
+    :param request: the value of ``request``.
     :returns: values of ``request``, ``budget`` and ``fleet``.
     """
     return {
@@ -26,11 +26,11 @@
 
 
 def view_budgets(parts: Parts, workspace: str) -> dict[str, Any]:
-    """Show a policy what this router knows of the workspace's budgets.
+    """Make the value of ``budget`` from the leases of this router.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param workspace: its name.
-    :returns: unspent and paid tokens by budget, as last heard.
+    :returns: unspent and paid tokens by budget, as last confirmed.
     """
     known: dict[str, Any] = {}
     prefix = f'{workspace}/'
@@ -45,10 +45,10 @@
 
 
 def view_fleet(parts: Parts) -> dict[str, Any]:
-    """Show a policy how many workers have each model.
+    """Make the value of ``fleet``: how many servers have each model.
 
-    :param parts: parts of the router.
-    :returns: counts by model, of workers that stay.
+    :param parts: shared components of the router.
+    :returns: counts by model, of servers that do not leave.
     """
     counts: Counter[str] = Counter()
     for name, report in parts.board.loads.reports.items():
--- a/src/dykemast/_internal/path/refusals.py
+++ b/src/dykemast/_internal/path/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals as callers see them."""
+"""HTTP responses for refusals."""
 
 from starlette.responses import JSONResponse, Response
 
@@ -6,11 +6,11 @@
 
 
 def answer_refusal(refusal: Refusal, name: str) -> Response:
-    """Tell a caller of a refusal.
+    """Make the HTTP response of a refusal.
 
-    :param refusal: what to tell.
+    :param refusal: the refusal.
     :param name: id of the request.
-    :returns: the answer.
+    :returns: the response.
     """
     headers = {'x-request-id': name}
     if refusal.retry_after:
--- a/src/dykemast/_internal/path/relays.py
+++ b/src/dykemast/_internal/path/relays.py
@@ -1,4 +1,4 @@
-"""Pass an answer on, and learn from it what was consumed."""
+"""Read responses of backend servers, and the usage they report."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,15 +9,14 @@
 
 from dykemast._internal.exceptions import UpstreamError
 
-#: Bytes of one event, or of one whole answer, at most.
+#: Upper bound for one event and for one complete response.
 MAX_RESPONSE_BYTES: Final = 16_777_216
-#: What ends an event of a stream.
 _EVENT_END: Final = b'\n\n'
 _END_MARKER: Final = b'data: [DONE]'
 
 
 class Event(NamedTuple):
-    """One event of a streamed answer.
+    """One event of a streamed response.
 
     :param body: its bytes, with the blank line that ends it.
     :param usage: tokens consumed, where the event reports them.
@@ -33,12 +32,12 @@
     response: aiohttp.ClientResponse,
     deadline: float,
 ) -> AsyncIterator[Event]:
-    """Read the events of a streamed answer, up to its end marker.
+    """Read the events of a streamed response, up to its end marker.
 
-    :param response: the answer of a backend server.
-    :param deadline: seconds on the loop's clock by which it has to end.
+    :param response: the response of a backend server.
+    :param deadline: time on the event loop's clock by which it must end.
     :returns: its events; the end marker comes last.
-    :raises UpstreamError: when the answer breaks off before.
+    :raises UpstreamError: when it is truncated or an event is too long.
     """
     rest = b''
     async for chunk in read_chunks(response, deadline):
@@ -57,12 +56,12 @@
     response: aiohttp.ClientResponse,
     deadline: float,
 ) -> AsyncIterator[bytes]:
-    """Read an answer's body as it comes.
+    """Read a response's body as it arrives.
 
-    :param response: the answer of a backend server.
-    :param deadline: seconds on the loop's clock by which it has to end.
+    :param response: the response of a backend server.
+    :param deadline: time on the event loop's clock by which it must end.
     :returns: its bytes.
-    :raises UpstreamError: when the connection breaks, or it is too late.
+    :raises UpstreamError: when the connection fails or the deadline passes.
     """
     chunks = response.content.iter_any()
     while True:
@@ -85,12 +84,12 @@
     response: aiohttp.ClientResponse,
     deadline: float,
 ) -> bytes:
-    """Read a whole answer.
+    """Read a complete response.
 
-    :param response: the answer of a backend server.
-    :param deadline: seconds on the loop's clock by which it has to end.
+    :param response: the response of a backend server.
+    :param deadline: time on the event loop's clock by which it must end.
     :returns: its body.
-    :raises UpstreamError: when it breaks off or is too long.
+    :raises UpstreamError: when it is truncated or too long.
     """
     body = bytearray()
     async for chunk in read_chunks(response, deadline):
@@ -101,10 +100,10 @@
 
 
 def find_usage(body: bytes) -> int | None:
-    """Find what an answer says was consumed.
+    """Find the usage that a response reports.
 
-    :param body: JSON of an answer or an event.
-    :returns: tokens, or nothing.
+    :param body: JSON of a response or an event.
+    :returns: tokens, or ``None``.
     """
     try:
         fields = msgspec.json.decode(body, type=dict[str, Any])
--- a/src/dykemast/_internal/path/replays.py
+++ b/src/dykemast/_internal/path/replays.py
@@ -1,4 +1,4 @@
-"""Answers of plain services: passed on, recorded, and replayed to a retry."""
+"""Forward, record and replay responses of plain services."""
 
 import json
 from typing import Final
@@ -10,7 +10,7 @@
 from dykemast._internal.models.requests import Code, Ran, Refusal
 from dykemast._internal.path.parts import RefusedError
 
-#: Bytes of an answer that are recorded, to be given to a retry again.
+#: Larger responses are not recorded for replay to a retry.
 MAX_RECORDED_BYTES: Final = 2048
 _DROPPED: Final = frozenset(
     (
@@ -27,11 +27,11 @@
 
 
 def make_answer(response: aiohttp.ClientResponse, body: bytes) -> Response:
-    """Pass an answer on without what concerns one connection only.
+    """Make the response for the caller, without hop-by-hop headers.
 
-    :param response: the backend server's answer.
+    :param response: the backend server's response.
     :param body: its body.
-    :returns: the answer for the caller.
+    :returns: the response.
     """
     passed = {
         name: text
@@ -42,11 +42,11 @@
 
 
 def record(response: aiohttp.ClientResponse, body: bytes) -> str:
-    """Write an answer down for the journal.
+    """Encode a response for the journal.
 
-    :param response: the backend server's answer.
+    :param response: the backend server's response.
     :param body: its body.
-    :returns: text to keep; empty when the answer is too large or no text.
+    :returns: JSON text, or empty when the body is too large or not UTF-8.
     """
     if len(body) > MAX_RECORDED_BYTES:
         return ''
@@ -59,11 +59,11 @@
 
 
 def replay(earlier: Entry) -> Response:
-    """Answer a retry with what the first attempt got.
+    """Return the recorded response of the first attempt to a retry.
 
     :param earlier: outcome of the first attempt.
-    :returns: the recorded answer.
-    :raises RefusedError: when none was kept.
+    :returns: the recorded response.
+    :raises RefusedError: when none was recorded.
     """
     if not earlier.answer:
         text = 'This request has run; its answer was not kept.'
--- a/src/dykemast/_internal/path/retry_age.py
+++ b/src/dykemast/_internal/path/retry_age.py
@@ -1,7 +1,7 @@
-"""Whether a retry comes too late for the journal to know its key.
+"""Detect retries whose key the journal may have dropped.
 
-The journal forgets keys after the retry window. A caller that may retry for
-longer says when it first sent a request: by a time-ordered key (UUID version
+The journal drops keys after the retry window. A caller that may retry for
+longer states when it first sent a request: by a time-ordered key (UUID version
 7) or by the header ``X-First-Sent`` in seconds since 1970.
 """
 
@@ -12,17 +12,17 @@
 from starlette.datastructures import Headers
 
 _TIME_ORDERED: Final = 7
-#: Bits of such a key below its time, and its units a second.
+#: Bits of a version 7 UUID below its timestamp.
 _RANDOM_BITS: Final = 80
 _MILLISECONDS: Final = 1000
 
 
 def is_too_old(headers: Headers, key: str, oldest: float) -> bool:
-    """Tell whether a request may be a retry of a forgotten one.
+    """Check whether a request may be a retry whose key was dropped.
 
     :param headers: of the request.
     :param key: its idempotency key.
-    :param oldest: seconds since 1970 from which on keys are known.
+    :param oldest: seconds since 1970; earlier keys may have been dropped.
     :returns: whether it was first sent before that; not when unknown.
     """
     sent = find_first_sent(headers, key)
@@ -34,7 +34,7 @@
 
     :param headers: of the request.
     :param key: its idempotency key.
-    :returns: seconds since 1970, or nothing when it does not say.
+    :returns: seconds since 1970, or ``None`` when not stated.
     """
     with contextlib.suppress(ValueError):
         return float(headers.get('x-first-sent', ''))
--- a/src/dykemast/_internal/path/routes.py
+++ b/src/dykemast/_internal/path/routes.py
@@ -1,4 +1,4 @@
-"""Choose a backend server and send the order, again where that is safe."""
+"""Send a request to the best backend server, and retry where safe."""
 
 from typing import Final, NamedTuple
 
@@ -22,17 +22,16 @@
 
 _log = logbook.Logger('route')
 
-#: Workers tried for one request at most.
 MAX_ATTEMPTS: Final = 3
-#: Seconds after which another worker may be there.
+#: Retry-After when no backend server can serve the request.
 NO_WORKER_RETRY_AFTER_S: Final = 2
 
 
 class Upstream(NamedTuple):
-    """An answer that has begun.
+    """A response whose head has arrived.
 
     :param instance: the backend server.
-    :param response: its answer; the body is still to be read.
+    :param response: its response; the body is still to be read.
     """
 
     instance: Instance
@@ -42,13 +41,13 @@
 async def send_backend_request(
     parts: Parts, job: Job, backend_request: BackendRequest
 ) -> Upstream:
-    """Send an order to the best worker, or to the next where that is safe.
+    """Send a request to the best server, or to the next where safe.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param job: the request.
-    :param backend_request: what to send.
-    :returns: the answer that has begun.
-    :raises RefusedError: when no worker gave one.
+    :param backend_request: the request to send.
+    :returns: the response, with its body unread.
+    :raises RefusedError: when no backend server responded.
     """
     await wait_for_slot(parts, job, backend_request)
     parts.breakers.record_request()
--- a/src/dykemast/_internal/path/seen_stream.py
+++ b/src/dykemast/_internal/path/seen_stream.py
@@ -1,22 +1,22 @@
-"""What a relayed stream has shown so far."""
+"""Progress of a relayed stream."""
 
 from dykemast._internal.path.relays import Event
 
 
 class StreamProgress:
-    """What a relayed stream has shown so far, and the end that waits."""
+    """Usage and number of relayed events, and events held until the bill."""
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Make the progress of a stream with no events."""
         self.relayed_events = 0
         self.usage: int | None = None
         self.held_events: list[bytes] = []
 
     def record_event(self, event: Event) -> bool:
-        """Take in an event.
+        """Record an event.
 
         :param event: the event.
-        :returns: whether it may be passed on before the bill.
+        :returns: whether it may be relayed before the bill is durable.
         """
         if event.usage is not None:
             self.usage = event.usage
--- a/src/dykemast/_internal/path/turns.py
+++ b/src/dykemast/_internal/path/turns.py
@@ -1,20 +1,20 @@
-"""Turns of requests that ask to run in order."""
+"""Run requests with the same order key one after the other."""
 
 import asyncio
 
 
 class Turns:
-    """Queues by order key; those without a waiter take no memory."""
+    """Queues by order key; empty queues are removed."""
 
     def __init__(self) -> None:
-        """Start with no queue."""
+        """Make an object without queues."""
         self._last: dict[str, asyncio.Future[None]] = {}
 
     async def take(self, order: str) -> asyncio.Future[None]:
         """Wait until all earlier requests of an order key are done.
 
         :param order: the key.
-        :returns: the turn, to be given to :meth:`end`.
+        :returns: the place in the queue, to be passed to :meth:`end`.
         """
         turn: asyncio.Future[None] = asyncio.Future()
         before = self._last.get(order)
@@ -24,7 +24,7 @@
         try:
             await asyncio.shield(before)
         except asyncio.CancelledError:
-            # Whoever waits for this turn still has to wait for the one
+            # A request that waits for this one must still wait for the one
             # before it.
             before.add_done_callback(lambda _: self.end(order, turn))
             raise
@@ -34,7 +34,7 @@
         """Let the next request of an order key run.
 
         :param order: the key.
-        :param turn: as given by :meth:`take`.
+        :param turn: the result of :meth:`take`.
         """
         if not turn.done():
             turn.set_result(None)
--- a/src/dykemast/_internal/path/waiting.py
+++ b/src/dykemast/_internal/path/waiting.py
@@ -1,20 +1,19 @@
-"""Requests that wait for a slot, the most urgent first."""
+"""Priority queue of requests that wait for a slot."""
 
 import asyncio
 import heapq
 import itertools
 from typing import Final, NamedTuple
 
-#: Requests that wait for one service at most.
 MAX_WAITING: Final = 512
 
 
 class Waiter(NamedTuple):
-    """One request that waits.
+    """One waiting request.
 
     :param rank: its priority, negative.
-    :param sequence: its place among those of the same rank.
-    :param admitted: whether it is let in, once that is decided.
+    :param sequence: order of arrival among those of the same rank.
+    :param admitted: future, set to whether the request is admitted.
     """
 
     rank: int
@@ -26,27 +25,27 @@
     """Bounded queue by priority."""
 
     def __init__(self) -> None:
-        """Start with nobody waiting."""
+        """Make an empty queue."""
         self._waiters: list[Waiter] = []
         self._sequence = itertools.count()
 
     def __len__(self) -> int:
-        """Count those who wait."""
+        """Count the waiting requests."""
         return len(self._waiters)
 
     def count_before(self, priority: int) -> int:
-        """Count those who would come before a new request.
+        """Count the requests that would precede a new one.
 
         :param priority: 0 to 9.
-        :returns: how many.
+        :returns: the count.
         """
         return len([one for one in self._waiters if -one.rank >= priority])
 
     def join(self, priority: int) -> Waiter | None:
-        """Add a request; when the line is full the least urgent must go.
+        """Add a request; a full queue evicts the least urgent one.
 
         :param priority: 0 to 9.
-        :returns: its place, or nothing when it is the least urgent itself.
+        :returns: its entry, or ``None`` when it is the least urgent itself.
         """
         if len(self._waiters) >= MAX_WAITING:
             last = max(self._waiters)
@@ -59,16 +58,16 @@
         return waiter
 
     def pop(self) -> Waiter:
-        """Take out the most urgent request.
+        """Remove the most urgent request.
 
-        :returns: its place.
+        :returns: its entry.
         """
         return heapq.heappop(self._waiters)
 
     def drop(self, waiter: Waiter) -> None:
-        """Take out a request that goes away.
+        """Remove a request that gave up or is evicted.
 
-        :param waiter: its place.
+        :param waiter: its entry.
         """
         self._waiters.remove(waiter)
         heapq.heapify(self._waiters)
