--- a/src/dykemast/_internal/controllers/__init__.py
+++ b/src/dykemast/_internal/controllers/__init__.py
@@ -1,1 +1,1 @@
-"""Loops that read and write the blackboard."""
+"""Background loops that read and write the shared state of a router."""
--- a/src/dykemast/_internal/controllers/assembly.py
+++ b/src/dykemast/_internal/controllers/assembly.py
@@ -1,4 +1,4 @@
-"""Which part of a router is given which others."""
+"""Composition of a router."""
 
 import random
 from collections.abc import Callable
@@ -23,14 +23,14 @@
 
 
 class Assembly(NamedTuple):
-    """Parts of a router.
+    """Components of a router.
 
-    :param parts: what requests meet.
-    :param sessions: with everybody else.
-    :param keepers: way to the shards.
-    :param news: exchange with other routers.
-    :param follower: brings configurations into force.
-    :param store: revisions.
+    :param parts: shared components of the requests.
+    :param sessions: connections to other processes.
+    :param keepers: access to the shards.
+    :param news: gossip with other routers.
+    :param follower: applies new configurations.
+    :param store: store of configuration revisions.
     """
 
     parts: Parts
@@ -41,7 +41,7 @@
     store: RevisionStore
 
     def list_loops(self) -> list[Callable[[], Any]]:
-        """List the loops that a router runs.
+        """List the background loops of a router.
 
         :returns: functions that run until cancelled.
         """
@@ -62,7 +62,7 @@
         ]
 
     def list_peer_calls(self) -> Any:
-        """List what other routers may call.
+        """Make the calls that other routers may make.
 
         :returns: the calls.
         """
@@ -72,11 +72,11 @@
 
 
 def assemble(board: Blackboard, chance: random.Random) -> Assembly:
-    """Put a router together; nothing runs yet.
+    """Make the components of a router without starting any.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param chance: source of randomness.
-    :returns: its parts.
+    :returns: the components.
     """
     opened = sessions.open_sessions(board.settings)
     window = board.settings.get('retry_window', 0)
--- a/src/dykemast/_internal/controllers/bills.py
+++ b/src/dykemast/_internal/controllers/bills.py
@@ -1,4 +1,4 @@
-"""Write bills, or keep them until the journal is back."""
+"""Write bills, or keep them while the journal is unavailable."""
 
 import asyncio
 from typing import Final
@@ -17,18 +17,17 @@
 
 _log = logbook.Logger('bill')
 
-#: Bills kept in memory at most; beyond that new requests are refused.
+#: New requests are refused while this many bills are kept in memory.
 MAX_KEPT_BILLS: Final = 20000
-#: Seconds between two tries to write the bills that are kept.
 FLUSH_INTERVAL_S: Final = 1.0
-#: Peers that are asked to keep a bill, one after the other.
+#: Peers that are asked in turn to keep a copy of a bill.
 MAX_ASKED: Final = 3
 
 
 class Bills:
-    """Bills that are not in the journal yet, and the way there.
+    """Writer of bills, with those that are not in the journal yet.
 
-    :param board: the blackboard; only read.
+    :param board: shared state of the router; only read.
     :param journal: the journal.
     :param client: calls to other routers.
     """
@@ -39,7 +38,7 @@
         journal: Journal,
         client: PeerClient,
     ) -> None:
-        """Start with no bill kept."""
+        """Make a writer that keeps no bill."""
         self.kept: dict[str, Entry] = {}
         self._board = board
         self._journal = journal
@@ -49,22 +48,22 @@
         """Write a claim.
 
         :param entry: the claim.
-        :returns: what became of it, once it is durable.
-        :raises PlatformError: when the journal is away.
+        :returns: the acknowledgement, once the claim is durable.
+        :raises PlatformError: when the journal is unavailable.
         """
         return await self._journal.append(entry)
 
     async def record(self, entry: Entry) -> Verdict:
-        """Make a bill durable, or have a peer keep it as well.
+        """Write a bill, or keep it here and at a peer.
 
         :param entry: the bill.
-        :returns: whether it stands; a bill that is kept counts as ours.
+        :returns: whether it stands; a kept bill counts as ours.
         """
-        if not self._journal.is_away():
+        if not self._journal.is_unavailable():
             try:
                 return (await self._journal.append(entry)).verdict
             except PlatformError as error:
-                _log.warning('bill: {} is kept: {}', entry.run, error)
+                _log.warning('bill: {} kept in memory: {}', entry.run, error)
         self.kept[entry.run] = entry
         await self._keep_elsewhere(entry)
         return Verdict.ours
@@ -73,7 +72,7 @@
         """Keep bills of another router until they are written.
 
         :param entries: the bills.
-        :returns: whether there was room.
+        :returns: whether they are kept; not when too many are already.
         """
         if len(self.kept) >= MAX_KEPT_BILLS:
             return False
@@ -81,18 +80,20 @@
         return True
 
     async def run(self) -> None:
-        """Write the bills that are kept until cancelled."""
+        """Write kept bills until cancelled."""
         while True:
             await asyncio.sleep(FLUSH_INTERVAL_S)
             await self.flush()
 
     async def flush(self) -> None:
-        """Try to write the bills that are kept."""
+        """Try to write the kept bills."""
         for run, entry in list(self.kept.items()):
             try:
                 await self._journal.append(entry)
             except PlatformError as error:
-                _log.info('bill: {} still kept: {}', len(self.kept), error)
+                _log.info(
+                    'bill: {} bills still kept: {}', len(self.kept), error
+                )
                 return
             self.kept.pop(run, None)
 
@@ -106,17 +107,21 @@
                 _log.info('bill: {}', error)
                 continue
             if kept:
-                _log.info('bill: {} kept by {}.', entry.run, card.instance)
+                _log.info(
+                    'bill: copy of {} kept by {}.', entry.run, card.instance
+                )
                 return
-        _log.error('bill: {} is kept by this router alone.', entry.run)
+        _log.error(
+            'bill: {} kept by this router only; no peer has a copy.', entry.run
+        )
 
 
 def order_peers(peers: list[PeerCard], hall: str) -> list[PeerCard]:
-    """Choose who should keep a copy of a bill: other halls first.
+    """Choose the peers to keep a copy of a bill: other halls first.
 
-    :param peers: routers that can be expected to answer.
+    :param peers: live routers.
     :param hall: hall of this router.
-    :returns: a few of them, in order.
+    :returns: at most ``MAX_ASKED`` of them, in order.
     """
     ordered = sorted(peers, key=lambda card: card.hall == hall)
     return ordered[:MAX_ASKED]
--- a/src/dykemast/_internal/controllers/configuration.py
+++ b/src/dykemast/_internal/controllers/configuration.py
@@ -1,8 +1,8 @@
-"""Bring the newest configuration into force, from platform or peers.
+"""Apply the newest configuration, from the platform or from peers.
 
-A router applies only higher revisions. One that is cut off from everybody
-goes on with its last revision: refusing all work for a change that it cannot
-know would be a false refusal, and no budget can be overspent that way.
+A router applies only higher revisions. A partitioned router keeps its last
+revision: refusing all requests for a change that it cannot see would be a
+false refusal, and the last revision cannot overspend a budget.
 """
 
 import asyncio
@@ -22,17 +22,15 @@
 
 _log = logbook.Logger('config')
 
-#: Seconds between two looks whether a peer has a newer revision.
 PEER_INTERVAL_S: Final = 0.5
-#: Seconds before a watch that failed is made again.
 WATCH_RETRY_S: Final = 1.0
 
 
 class ConfigurationFollower:
-    """Writer of the blackboard's rules section.
+    """Writer of the configuration in the shared state.
 
-    :param board: the blackboard.
-    :param store: revisions in the platform.
+    :param board: shared state of the router.
+    :param store: store of revisions in the platform.
     :param client: calls to other routers.
     """
 
@@ -42,27 +40,29 @@
         store: RevisionStore,
         client: PeerClient,
     ) -> None:
-        """Start with no revision."""
+        """Make a follower."""
         self._board = board
         self._store = store
         self._client = client
 
     def apply(self, revision: Revision, source: str) -> None:
-        """Bring a revision into force, if it is newer.
+        """Apply a revision if it is newer.
 
         :param revision: the revision.
-        :param source: where it came from, for the log.
+        :param source: its source, for the log.
         """
         if revision.number <= _number(self._board):
             return
         self._board.rules.revision = revision
-        _log.info('config: revision {} from {}.', revision.number, source)
+        _log.info(
+            'config: revision {} applied, from {}.', revision.number, source
+        )
 
     async def give_newer(self, above: int) -> bytes:
-        """Give a peer the revision in force here.
+        """Return the revision in force, if newer than that of a peer.
 
         :param above: number of the peer's revision.
-        :returns: the revision, or nothing when it is not newer.
+        :returns: the encoded revision, or empty when it is not newer.
         """
         revision = self._board.rules.revision
         if revision is None or revision.number <= above:
@@ -70,34 +70,34 @@
         return msgspec.json.encode(revision)
 
     async def follow_platform(self) -> None:
-        """Follow the platform until cancelled."""
+        """Watch the platform for revisions until cancelled."""
         mark = 0
         while True:
             try:
                 mark = await self._follow(mark)
             except PlatformError as error:
-                _log.warning('config: {} not watched: {}', HEAD, error)
+                _log.warning('config: watch of {} failed: {}', HEAD, error)
                 await asyncio.sleep(WATCH_RETRY_S)
 
     async def follow_peers(self) -> None:
-        """Follow the other routers until cancelled."""
+        """Fetch newer revisions from peers until cancelled."""
         while True:
             await asyncio.sleep(PEER_INTERVAL_S)
             peers = list_peers(self._board.fleet, read_clock())
             newest = max(peers, key=lambda card: card.revision, default=None)
             if newest and newest.revision > _number(self._board):
-                await self._learn(newest)
+                await self._fetch_from(newest)
 
     async def _follow(self, mark: int) -> int:
         self.apply(await self._store.read_newest(), 'the platform')
         return (await self._store.wait_change(mark)).mark
 
-    async def _learn(self, card: PeerCard) -> None:
+    async def _fetch_from(self, card: PeerCard) -> None:
         arguments = (_number(self._board),)
         try:
             body = await self._client.call(card, 'newer_revision', arguments)
         except PeerError as error:
-            _log.info('config: {}', error)
+            _log.info('config: revision not fetched from a peer: {}', error)
             return
         if body:
             revision = msgspec.json.decode(body, type=Revision)
--- a/src/dykemast/_internal/controllers/http_apis.py
+++ b/src/dykemast/_internal/controllers/http_apis.py
@@ -1,4 +1,4 @@
-"""HTTP listeners of a router and what they serve."""
+"""HTTP listeners of a router."""
 
 from dykemast._internal.controllers.assembly import Assembly
 from dykemast._internal.network.admin_api import make_admin_app
@@ -9,9 +9,9 @@
 
 
 async def open_listeners(assembly: Assembly) -> list[Listener]:
-    """Listen for callers and operators.
+    """Open the listeners for callers and for operators.
 
-    :param assembly: parts of the router.
+    :param assembly: components of the router.
     :returns: the listeners.
     """
     parts = assembly.parts
@@ -31,7 +31,7 @@
             render,
         )
     )
-    # Callers come last: who reaches their address reaches all others.
+    # The caller port opens last: when it answers, the other ports are open.
     return [
         await open_listener(
             operators, settings['host'], settings['admin_port']
--- a/src/dykemast/_internal/controllers/instances.py
+++ b/src/dykemast/_internal/controllers/instances.py
@@ -1,6 +1,6 @@
-"""Read the platform's list of instances, and announce this process.
+"""Poll the platform's list of instances, and announce this incarnation.
 
-Writes the list's fields of the blackboard's fleet section.
+Writes the listed instances in the fleet section of the shared state.
 """
 
 import asyncio
@@ -17,30 +17,29 @@
 
 _log = logbook.Logger('member')
 
-#: Seconds between two reads of the platform's list.
 LIST_INTERVAL_S: Final = 1.0
-#: Start of the names of objects that name an instance's newest incarnation.
+#: Prefix of the objects that store the newest incarnation of an instance.
 MEMBERS: Final = 'members/'
 
 
 class InstanceLister:
-    """Reader of the platform's list.
+    """Poller of the platform's list of instances.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param platform: session with the platform.
     """
 
     def __init__(self, board: Blackboard, platform: Platform) -> None:
-        """Start with nothing read."""
+        """Make a poller."""
         self._board = board
         self._platform = platform
         self._announced = False
 
     async def announce(self) -> None:
-        """Write that this incarnation is the newest on its instance.
+        """Record this incarnation as the newest of its instance.
 
-        It is called after the instance's address was bound, which shows that
-        the process before has ended.
+        Call it after binding the instance's address, which confirms that the
+        previous process has ended.
 
         :raises PlatformError: when it could not be written.
         """
@@ -50,15 +49,15 @@
         if stored.body != body:
             await self._platform.write(name, body, stored.version)
         self._announced = True
-        _log.info('member: {} announced.', self._board.incarnation)
+        _log.info('member: incarnation {} announced.', self._board.incarnation)
 
     async def run(self) -> None:
-        """Keep the list up to date until cancelled."""
+        """Poll the list until cancelled."""
         while True:
             try:
                 await self.refresh()
             except PlatformError as error:
-                _log.warning('member: list not read: {}', error)
+                _log.warning('member: list of instances not read: {}', error)
             await asyncio.sleep(LIST_INTERVAL_S)
 
     async def refresh(self) -> None:
--- a/src/dykemast/_internal/controllers/journal.py
+++ b/src/dykemast/_internal/controllers/journal.py
@@ -1,4 +1,4 @@
-"""Append to the journal, and know when it is away."""
+"""Append to the journal, and track whether it is available."""
 
 import asyncio
 from typing import Final
@@ -10,39 +10,39 @@
 from dykemast._internal.operations.rendezvous import choose_shard
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds that an entry waits for the journal: a keeper passed over, and a
-#: list, a read and a write of a slow platform.
+#: Covers a shard owner that times out, and a list, a read and a write of a
+#: slow platform.
 APPEND_TIMEOUT_S: Final = 4.0
-#: Seconds for which the journal counts as away after a failure.
+#: Time for which the journal counts as unavailable after a failure.
 UNAVAILABLE_S: Final = 2.0
 
 
 class Journal:
-    """Way to the journal shards.
+    """Client of the journal shards.
 
     :param keepers: writes intents.
-    :param shards: how many journal shards there are.
+    :param shards: number of journal shards.
     """
 
     def __init__(self, keepers: Keepers, shards: int) -> None:
-        """Start with the journal thought to be there."""
+        """Make a client that expects the journal to be available."""
         self._keepers = keepers
         self._shards = shards
         self._failed_at = -UNAVAILABLE_S
 
-    def is_away(self) -> bool:
-        """Tell whether an append would most likely fail now.
+    def is_unavailable(self) -> bool:
+        """Check whether an append is likely to fail now.
 
-        :returns: whether one failed a moment ago.
+        :returns: whether one failed within the last ``UNAVAILABLE_S``.
         """
         return read_clock() - self._failed_at <= UNAVAILABLE_S
 
     async def append(self, entry: Entry) -> JournalAck:
         """Append one entry.
 
-        :param entry: what to append.
-        :returns: what became of it, once it is durable.
-        :raises PlatformError: when the journal is away.
+        :param entry: the entry.
+        :returns: the acknowledgement, once the entry is durable.
+        :raises PlatformError: when the journal is unavailable.
         """
         ledger = f'{PREFIX}{choose_shard(entry.key, self._shards)}'
         try:
@@ -50,5 +50,5 @@
                 acks = await self._keepers.commit(ledger, [entry])
         except (TimeoutError, PlatformError) as error:
             self._failed_at = read_clock()
-            raise PlatformError(f'{ledger}: journal is away.') from error
+            raise PlatformError(f'{ledger}: journal is unavailable.') from error
         return acks[0]
--- a/src/dykemast/_internal/controllers/keepers.py
+++ b/src/dykemast/_internal/controllers/keepers.py
@@ -1,7 +1,7 @@
-"""Hand intents to the router that keeps a shard, or write them oneself.
+"""Send intents to the owner of a shard, or write them here.
 
-Who keeps a shard is a hint. When the keeper does not answer, this router
-writes itself: the conditional update lets only one of them win.
+Ownership of a shard is a hint. When the owner does not answer, this router
+writes the shard itself: conditional updates let only one writer succeed.
 """
 
 import asyncio
@@ -24,18 +24,18 @@
 
 _log = logbook.Logger('keeper')
 
-#: Seconds to wait for a keeper. A frozen one must not use up the time of
-#: those who wait for their claim or for room in their budget.
+#: A suspended owner must not use up the timeouts of requests that wait for a
+#: claim or for tokens.
 OWNER_TIMEOUT_S: Final = 0.8
-#: Seconds for which a keeper that did not answer is passed over.
+#: Time for which an owner that did not answer is skipped.
 AVOID_S: Final = 5.0
 
 
 class LedgerKind(NamedTuple):
-    """How the shards of one kind are opened and sent.
+    """How the shards of one kind are opened and written.
 
-    :param open_shard: makes the ledger of a shard by its name.
-    :param decode_acks: reads the answers that a keeper sends.
+    :param open_shard: opens the ledger of a shard by its name.
+    :param decode_acks: decodes the acknowledgements of an owner.
     :param pause: seconds between two writes of one shard.
     """
 
@@ -45,9 +45,9 @@
 
 
 class Keepers:
-    """Group commits of this router, and the way to those of others.
+    """Group commits of this router, and calls to those of shard owners.
 
-    :param board: the blackboard; only read.
+    :param board: shared state of the router; only read.
     :param client: calls to other routers.
     :param kinds: kinds of ledger by the first part of their shards' names.
     """
@@ -58,7 +58,7 @@
         client: PeerClient,
         kinds: dict[str, LedgerKind],
     ) -> None:
-        """Start with no shard open."""
+        """Make an object with no open shard."""
         self._board = board
         self._client = client
         self._kinds = kinds
@@ -67,15 +67,15 @@
         self._avoided: dict[str, float] = {}
 
     async def commit(self, ledger: str, intents: list[Any]) -> list[Any]:
-        """Have intents written by the shard's keeper.
+        """Have intents written by the shard's owner.
 
         :param ledger: name of the shard.
-        :param intents: what to write.
-        :returns: an answer to each.
+        :param intents: the intents.
+        :returns: an acknowledgement of each.
         :raises PlatformError: when they could not be written.
         """
-        keeper = self.find_keeper(ledger)
-        view = self._board.fleet.peers.get(keeper or '')
+        owner = self.find_owner(ledger)
+        view = self._board.fleet.peers.get(owner or '')
         if view is None:
             return await self.commit_here(ledger, intents)
         body = ledger_codec.encode_intents(intents)
@@ -85,7 +85,9 @@
             )
         except PeerError as error:
             self._avoided[view.card.instance] = read_clock() + AVOID_S
-            _log.info('keeper: {} is written here: {}', ledger, error)
+            _log.info(
+                'keeper: owner of {} failed; writing it here: {}', ledger, error
+            )
             return await self.commit_here(ledger, intents)
         return self._find_kind(ledger).decode_acks(acks)
 
@@ -93,8 +95,8 @@
         """Write intents from this router.
 
         :param ledger: name of the shard.
-        :param intents: what to write.
-        :returns: an answer to each.
+        :param intents: the intents.
+        :returns: an acknowledgement of each.
         :raises PlatformError: when they could not be written.
         """
         commit = self._open.get(ledger)
@@ -106,20 +108,20 @@
         return await commit.submit(intents)
 
     async def serve(self, ledger: str, body: bytes) -> bytes:
-        """Write intents that another router sent.
+        """Write the intents that another router sent.
 
         :param ledger: name of the shard.
-        :param body: the intents as sent.
-        :returns: the answers as sent.
+        :param body: the encoded intents.
+        :returns: the encoded acknowledgements.
         """
         intents = ledger_codec.decode_intents(body)
         return ledger_codec.encode_acks(await self.commit_here(ledger, intents))
 
-    def find_keeper(self, ledger: str) -> str | None:
-        """Find the router that should keep a shard.
+    def find_owner(self, ledger: str) -> str | None:
+        """Find the owner of a shard.
 
         :param ledger: name of the shard.
-        :returns: its instance id.
+        :returns: its instance id, or ``None`` when there is no live router.
         """
         now = read_clock()
         keepers = [
@@ -130,12 +132,12 @@
         return choose_owner(ledger, keepers)
 
     def close(self) -> None:
-        """Stop writing."""
+        """Cancel all group commits."""
         for task in self._tasks:
             task.cancel()
 
     def _find_kind(self, ledger: str) -> LedgerKind:
         kind = self._kinds.get(ledger.split('/', 1)[0])
         if kind is None:
-            raise PeerError(f'{ledger}: no such ledger.')
+            raise PeerError(f'{ledger}: unknown kind of ledger.')
         return kind
--- a/src/dykemast/_internal/controllers/lease_renewals.py
+++ b/src/dykemast/_internal/controllers/lease_renewals.py
@@ -17,17 +17,16 @@
 
 _log = logbook.Logger('lease')
 
-#: Seconds between two looks at the leases of a shard.
 RENEWAL_INTERVAL_S: Final = 0.5
 
 
 class LeaseRenewer:
-    """Renews leases of one shard, one batch at a time.
+    """Renews the leases of one shard, one batch at a time.
 
     :param lease_registry: leases of this router.
-    :param keepers: way to the shard.
+    :param keepers: access to the shard.
     :param ledger: name of the shard.
-    :param belongs: tells whether a budget is of the shard.
+    :param belongs: checks whether a budget belongs to the shard.
     """
 
     def __init__(
@@ -37,7 +36,7 @@
         ledger: str,
         belongs: Callable[[str], bool],
     ) -> None:
-        """Start with nothing renewed."""
+        """Make a renewer."""
         self.kick = asyncio.Event()
         self.away = False
         self._lease_registry = lease_registry
@@ -48,7 +47,7 @@
         self._turn = asyncio.Lock()
 
     async def run(self, on_round: Callable[[], None]) -> None:
-        """Renew until cancelled.
+        """Renew leases until cancelled.
 
         :param on_round: called after each round.
         """
@@ -61,16 +60,16 @@
                 await self.renew()
             except DykemastError as error:
                 self.away = True
-                _log.warning('lease: not renewed: {}', error)
+                _log.warning('lease: renewal failed: {}', error)
             on_round()
 
     async def renew(self) -> None:
-        """Renew what is due, after the renewal under way.
+        """Renew the leases that are due, after a renewal in progress.
 
-        A closing that overtook a lease's first intent would find no row to
-        close, and the intent would open one that nobody gives back.
+        A close that overtakes the first intent of a lease would find no row,
+        and the intent would then open one that is never returned.
 
-        :raises PlatformError: when nobody could write.
+        :raises PlatformError: when the shard could not be written.
         """
         async with self._turn:
             await self._renew()
@@ -85,7 +84,7 @@
         for ack in await self._commit(plans):
             self._apply_ack(ack)
             if ack.version:
-                # It stood when it was written, so it was no newer before.
+                # At `started` the version was this one or an older one.
                 self.reads.record_read(ack.version, started)
         self.away = False
 
--- a/src/dykemast/_internal/controllers/leases.py
+++ b/src/dykemast/_internal/controllers/leases.py
@@ -1,4 +1,4 @@
-"""Leases of this router, and what requests wait for."""
+"""Leases of this router, with waits for their renewal."""
 
 import asyncio
 import contextlib
@@ -16,14 +16,14 @@
     """Leases of this router over all budget shards.
 
     :param lease_registry: the leases.
-    :param keepers: way to the budget shards.
-    :param shards: how many budget shards there are.
+    :param keepers: access to the budget shards.
+    :param shards: number of budget shards.
     """
 
     def __init__(
         self, lease_registry: LeaseRegistry, keepers: Keepers, shards: int
     ) -> None:
-        """Start with no lease."""
+        """Make one renewer per shard."""
         self.lease_registry = lease_registry
         self._renewed = asyncio.Event()
         self.renewers = [
@@ -38,7 +38,7 @@
                 group.create_task(renewer.run(self._wake_waiters))
 
     def find_renewer(self, budget: str) -> LeaseRenewer:
-        """Find who renews a budget's lease.
+        """Find the renewer of a budget's lease.
 
         :param budget: its name.
         :returns: the renewer of its shard.
@@ -46,16 +46,16 @@
         return self.renewers[choose_shard(budget, len(self.renewers))]
 
     async def wait_for_renewal(self, timeout_s: float) -> None:
-        """Wait until some leases were looked at.
+        """Wait for the next round of renewals.
 
-        :param timeout_s: seconds to wait at most.
+        :param timeout_s: longest wait in seconds.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 await self._renewed.wait()
 
     def recall(self, budget: str) -> None:
-        """Renew a lease at once because others need its tokens.
+        """Renew a lease at once, as other routers need its tokens.
 
         :param budget: its name.
         """
@@ -65,7 +65,7 @@
             self.find_renewer(budget).kick.set()
 
     async def close_all(self) -> None:
-        """Give back all leases that are not in use.
+        """Return all leases that are not in use.
 
         :raises PlatformError: when that could not be written.
         """
--- a/src/dykemast/_internal/controllers/ledger_kinds.py
+++ b/src/dykemast/_internal/controllers/ledger_kinds.py
@@ -11,17 +11,15 @@
 from dykemast._internal.network.platform import Platform
 from dykemast._internal.operations.group_commit import LedgerCallbacks
 
-#: Seconds between two writes of a budget shard.
 BUDGET_WRITE_INTERVAL_S: Final = 0.5
-#: Seconds between two writes of a journal shard.
 JOURNAL_WRITE_INTERVAL_S: Final = 0.14
 
 
 def make_kinds(platform: Platform, window: float) -> dict[str, LedgerKind]:
-    """Describe the kinds of ledgers.
+    """Make the kinds of ledgers.
 
     :param platform: session with the platform.
-    :param window: seconds for which the journal knows a key.
+    :param window: seconds for which the journal keeps a key.
     :returns: kinds by the first part of their shards' names.
     """
 
--- a/src/dykemast/_internal/controllers/lending.py
+++ b/src/dykemast/_internal/controllers/lending.py
@@ -1,4 +1,4 @@
-"""Lend leased tokens to each other, and call idle ones back."""
+"""Lend leased tokens between routers, and recall unused ones."""
 
 import asyncio
 import uuid
@@ -16,16 +16,16 @@
 
 _log = logbook.Logger('lend')
 
-#: Transfers that are remembered, so that a repeat gives nothing twice.
+#: Transfers that are remembered, so that a repeated call lends nothing twice.
 MAX_TRANSFERS: Final = 10000
-#: Times the wanted tokens that are asked for, to ask less often.
+#: Borrows a multiple of the wanted tokens, for fewer calls.
 BORROW_FACTOR: Final = 4
 
 
 class Lending:
-    """Both sides of lending.
+    """Lender and borrower of tokens.
 
-    :param board: the blackboard; only read.
+    :param board: shared state of the router; only read.
     :param lease_registry: leases of this router.
     :param client: calls to other routers.
     """
@@ -36,18 +36,18 @@
         lease_registry: LeaseRegistry,
         client: PeerClient,
     ) -> None:
-        """Start with nothing lent."""
+        """Make a lender with no transfers."""
         self._board = board
         self._lease_registry = lease_registry
         self._client = client
         self._lent: OrderedDict[str, int] = OrderedDict()
 
     async def borrow(self, budget: str, tokens: int) -> int:
-        """Ask peers for tokens of a budget.
+        """Borrow tokens of a budget from peers.
 
         :param budget: its name.
-        :param tokens: how many are needed.
-        :returns: how many were got; the lenders count them as spent.
+        :param tokens: tokens needed.
+        :returns: tokens received; the lenders count them as spent.
         """
         got = 0
         peers = list_peers(self._board.fleet, read_clock())
@@ -56,18 +56,18 @@
             try:
                 got += await self._client.call(card, 'lend', arguments)
             except PeerError as error:
-                # What was lent and not received is stranded, never doubled.
-                _log.info('lend: {}', error)
+                # Tokens lent but not received are stranded, never doubled.
+                _log.info('lend: borrowing from a peer failed: {}', error)
             if got >= tokens:
                 break
-        _log.info('lend: got {} tokens of {}.', got, budget)
+        _log.info('lend: borrowed {} tokens of {}.', got, budget)
         return got
 
     async def recall(self, budget: str) -> None:
         """Have peers renew their leases of a budget that runs out here.
 
-        A renewal gives back what is above the holder's fair share, so the
-        last tokens go where they are asked for.
+        A renewal returns what exceeds the holder's fair share, so the last
+        tokens go to the routers that need them.
 
         :param budget: its name.
         """
@@ -78,12 +78,13 @@
         )
 
     async def lend(self, budget: str, tokens: int, transfer: str) -> int:
-        """Give tokens to a peer.
+        """Lend tokens to a peer.
 
         :param budget: name of the budget.
-        :param tokens: how many it wants.
-        :param transfer: id of the transfer; a repeat gets the same answer.
-        :returns: how many it gets.
+        :param tokens: tokens wanted.
+        :param transfer: id of the transfer; a repeated call gets the same
+            result.
+        :returns: tokens lent.
         """
         known = self._lent.get(transfer)
         if known is not None:
@@ -93,5 +94,5 @@
         self._lent[transfer] = given
         if len(self._lent) > MAX_TRANSFERS:
             self._lent.popitem(last=False)
-        _log.info('lend: gave {} tokens of {}.', given, budget)
+        _log.info('lend: lent {} tokens of {}.', given, budget)
         return given
--- a/src/dykemast/_internal/controllers/load_reports.py
+++ b/src/dykemast/_internal/controllers/load_reports.py
@@ -1,4 +1,4 @@
-"""Ask the workers for their load. Writes the blackboard's loads section."""
+"""Poll backend servers for their load, and store it in the shared state."""
 
 import asyncio
 from typing import Final
@@ -13,27 +13,26 @@
 
 _log = logbook.Logger('load')
 
-#: Seconds between two rounds of load reports.
 LOAD_INTERVAL_S: Final = 1.0
-#: Workers asked in one round, however many there are; the oldest reports
-#: first. What is older counts less when a worker is chosen.
+#: Backend servers polled in one round, those with the oldest reports first.
+#: Older reports count less in the choice of a server.
 MAX_ASKED: Final = 32
 
 
 class LoadReader:
-    """Reader of load reports.
+    """Poller of load reports.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param backends: sessions with backend servers.
     """
 
     def __init__(self, board: Blackboard, backends: Backends) -> None:
-        """Start with no report."""
+        """Make a poller."""
         self._board = board
         self._backends = backends
 
     async def run(self) -> None:
-        """Keep the section up to date until cancelled."""
+        """Poll load reports until cancelled."""
         while True:
             workers = self._list_workers()
             due = choose_due(workers, self._board.loads.reports)
@@ -48,7 +47,7 @@
         try:
             report = await self._backends.read_load(instance)
         except UpstreamError as error:
-            _log.debug('load: {} gave none: {}', instance.name, error)
+            _log.debug('load: no report from {}: {}', instance.name, error)
             return
         own = self._board.traffic.by_worker.get(instance.name, 0)
         self._board.loads.reports[instance.name] = report._replace(own=own)
@@ -74,9 +73,9 @@
     workers: list[Instance],
     reports: dict[str, LoadReport],
 ) -> list[Instance]:
-    """Choose the workers to ask in this round.
+    """Choose the backend servers to poll in this round.
 
-    :param workers: all workers.
+    :param workers: all backend servers.
     :param reports: their last reports.
     :returns: those whose report is oldest, or missing.
     """
--- a/src/dykemast/_internal/controllers/loops.py
+++ b/src/dykemast/_internal/controllers/loops.py
@@ -1,4 +1,4 @@
-"""Run the loops of a router."""
+"""Run the background loops of a router."""
 
 import asyncio
 from functools import partial
@@ -21,10 +21,10 @@
     assembly: Assembly,
     listeners: list[Listener],
 ) -> list[asyncio.Task[None]]:
-    """Run the loops, each again whenever it ends.
+    """Run the background loops, restarting each when it ends.
 
-    :param assembly: the router's parts.
-    :param listeners: its listeners, which are watched as well.
+    :param assembly: components of the router.
+    :param listeners: its listeners, watched by one more loop.
     :returns: the tasks.
     """
     watch = BackgroundLoop(
@@ -38,7 +38,7 @@
 
 def _log_end(end: LoopFailure) -> None:
     _log.error(
-        'loops: {} failed and runs again in {:.1f} s: {} in {}',
+        'loops: {} failed; restarting in {:.1f} s: {} in {}',
         end.loop,
         end.pause,
         end.reason,
--- a/src/dykemast/_internal/controllers/news.py
+++ b/src/dykemast/_internal/controllers/news.py
@@ -1,6 +1,6 @@
-"""Exchange news among routers: who is up, who is leaving.
+"""Gossip between routers: which are live and which are leaving.
 
-Writes the peers' fields of the blackboard's fleet section.
+Writes the peers in the fleet section of the shared state.
 """
 
 import asyncio
@@ -20,34 +20,33 @@
 
 _log = logbook.Logger('member')
 
-#: Seconds between two rounds of news.
 GOSSIP_INTERVAL_S: Final = 1.0
-#: Peers that get news in one round, whatever the fleet's size.
+#: Peers contacted in one gossip round, whatever the fleet's size.
 GOSSIP_FANOUT: Final = 3
 
 
 class News:
-    """Exchange with other routers.
+    """Gossip with other routers.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param client: calls to other routers.
     """
 
     def __init__(self, board: Blackboard, client: PeerClient) -> None:
-        """Start knowing nobody."""
+        """Make a gossiper with no rounds done."""
         self._board = board
         self._client = client
         self._beat = 0
         self._chance = random.Random(board.incarnation)
 
     async def run(self) -> None:
-        """Exchange news until cancelled."""
+        """Run gossip rounds until cancelled."""
         while True:
             await self.spread()
             await asyncio.sleep(GOSSIP_INTERVAL_S)
 
     async def handle_gossip(self, news: Any) -> Any:
-        """Take in a peer's news and tell this router's.
+        """Merge a peer's gossip message and return this router's.
 
         :param news: a ``Gossip``.
         :returns: a ``Gossip``.
@@ -64,7 +63,7 @@
         return self._make_message()
 
     async def spread(self) -> None:
-        """Exchange news with some peers, also those only listed yet."""
+        """Run a gossip round with some peers, including those only listed."""
         targets = list_gossip_targets(self._board)
         count = min(GOSSIP_FANOUT, len(targets))
         await asyncio.gather(
@@ -80,9 +79,9 @@
                 card, 'exchange', (self._make_message(),)
             )
         except DykemastError as error:
-            _log.debug('member: {}', error)
-            # Callers and keepers' duties go elsewhere at once; the next
-            # heartbeat, from itself or by hearsay, brings it back.
+            _log.debug('member: gossip with a peer failed: {}', error)
+            # Callers and owned shards move to other routers at once; the next
+            # heartbeat, direct or relayed by a peer, restores it.
             peers.mark_unreachable(self._board.fleet, card.instance)
             return
         await self.handle_gossip(news)
--- a/src/dykemast/_internal/controllers/peer_calls.py
+++ b/src/dykemast/_internal/controllers/peer_calls.py
@@ -1,4 +1,4 @@
-"""What other routers may ask of this one."""
+"""Calls that other routers may make to this one."""
 
 from dykemast._internal.controllers.configuration import (
     ConfigurationFollower,
@@ -16,12 +16,12 @@
     news: News,
     follower: ConfigurationFollower,
 ) -> PeerCalls:
-    """Wire the calls of other routers to the parts that serve them.
+    """Connect the calls of other routers to the components that serve them.
 
     :param parts: leases, lending and bills.
     :param keepers: writes intents.
-    :param news: takes news.
-    :param follower: gives revisions.
+    :param news: handles gossip messages.
+    :param follower: serves revisions.
     :returns: the calls.
     """
 
--- a/src/dykemast/_internal/controllers/reclaims.py
+++ b/src/dykemast/_internal/controllers/reclaims.py
@@ -1,4 +1,4 @@
-"""Take back the leases of routers that are shown to be dead."""
+"""Reclaim the leases of routers that are confirmed dead."""
 
 import asyncio
 from typing import Final
@@ -21,17 +21,16 @@
 
 _log = logbook.Logger('reclaim')
 
-#: Seconds between two looks at the shards that this router keeps.
 RECLAIM_INTERVAL_S: Final = 3.0
 
 
 class Reclaims:
-    """Looks after the shards that this router keeps.
+    """Reclaims leases in the shards that this router owns.
 
-    :param board: the blackboard; only the incarnations are written.
+    :param board: shared state; only the incarnations are written.
     :param platform: session with the platform.
-    :param ways: to the budget shards.
-    :param lease_registry: knows when which versions of the shards were seen.
+    :param ways: access to the budget shards.
+    :param lease_registry: records when versions of the shards were read.
     """
 
     def __init__(
@@ -41,7 +40,7 @@
         ways: keepers.Keepers,
         lease_registry: leases.Leases,
     ) -> None:
-        """Start with nothing read."""
+        """Make an object with no shard loaded."""
         self._leases = lease_registry
         self._board = board
         self._platform = platform
@@ -49,19 +48,19 @@
         self._shards: dict[str, BudgetShard] = {}
 
     async def run(self) -> None:
-        """Look after the shards until cancelled."""
+        """Check the owned shards until cancelled."""
         while True:
             await asyncio.sleep(RECLAIM_INTERVAL_S)
             try:
                 await self._check_shards()
             except DykemastError as error:
-                _log.info('reclaim: not now: {}', error)
+                _log.info('reclaim: check of the shards failed: {}', error)
 
     async def _check_shards(self) -> None:
         own = self._board.settings['instance']
         for number in range(self._board.settings.get('budget_shards', 1)):
             name = f'{PREFIX}{number}'
-            if self._keepers.find_keeper(name) == own:
+            if self._keepers.find_owner(name) == own:
                 await self._check_shard(
                     name, self._leases.renewers[number].reads
                 )
@@ -88,10 +87,10 @@
             await self._keepers.commit(name, plans)
         for plan in plans:
             _log.warning(
-                'reclaim: {} of {}, {}.',
+                'reclaim: lease of {} in {}, {}.',
                 plan.holder,
                 plan.budget,
-                'in full' if plan.full else 'the armed part',
+                'in full' if plan.full else 'armed part only',
             )
 
     async def _read_incarnations(self, shard: BudgetShard) -> None:
--- a/src/dykemast/_internal/controllers/request_parts.py
+++ b/src/dykemast/_internal/controllers/request_parts.py
@@ -1,4 +1,4 @@
-"""Parts that a request meets, put together."""
+"""Compose the shared components of requests."""
 
 import random
 
@@ -21,13 +21,13 @@
     keepers: Keepers,
     chance: random.Random,
 ) -> Parts:
-    """Make the parts.
+    """Make the shared components.
 
-    :param board: the blackboard.
-    :param sessions: with everybody else.
-    :param keepers: way to the shards.
+    :param board: shared state of the router.
+    :param sessions: connections to other processes.
+    :param keepers: access to the shards.
     :param chance: source of randomness.
-    :returns: the parts.
+    :returns: the components.
     """
     settings = board.settings
     lease_registry = LeaseRegistry(
--- a/src/dykemast/_internal/controllers/retention.py
+++ b/src/dykemast/_internal/controllers/retention.py
@@ -1,4 +1,4 @@
-"""Drop journal segments that are past the retry window."""
+"""Drop journal segments older than the retry window."""
 
 import asyncio
 from typing import Final
@@ -15,16 +15,15 @@
 
 _log = logbook.Logger('journal')
 
-#: Seconds between two looks at the shards that this router keeps.
 CHECK_INTERVAL_S: Final = 30.0
 
 
 class Retention:
-    """Looks after the journal shards that this router keeps.
+    """Trims the journal shards that this router owns.
 
-    :param board: the blackboard; only read.
+    :param board: shared state of the router; only read.
     :param platform: session with the platform.
-    :param keepers: tells which shards are this router's.
+    :param keepers: finds the owners of shards.
     """
 
     def __init__(
@@ -33,32 +32,32 @@
         platform: Platform,
         keepers: Keepers,
     ) -> None:
-        """Start with nothing dropped."""
+        """Make an object with nothing dropped."""
         self._board = board
         self._platform = platform
         self._keepers = keepers
 
     async def run(self) -> None:
-        """Look after the shards until cancelled."""
+        """Trim the owned shards until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             for number in range(self._board.settings.get('journal_shards', 1)):
                 try:
                     await self.trim(f'{PREFIX}{number}')
                 except PlatformError as error:
-                    _log.info('journal: not trimmed now: {}', error)
+                    _log.info('journal: trim failed: {}', error)
 
     async def trim(self, shard: str) -> None:
-        """Drop what is due in one shard, if this router keeps it.
+        """Drop expired segments of a shard, if this router owns it.
 
         :param shard: its name.
-        :raises PlatformError: when that was not possible now.
+        :raises PlatformError: when the shard could not be trimmed.
         """
         own = self._board.settings['instance']
-        if self._keepers.find_keeper(shard) != own:
+        if self._keepers.find_owner(shard) != own:
             return
         window = self._board.settings.get('retry_window', 0)
         while await drop_oldest(
             self._platform, shard, read_time_of_day() - window
         ):
-            _log.info('journal: a segment of {} was summed up.', shard)
+            _log.info('journal: segment of {} replaced by its totals.', shard)
--- a/src/dykemast/_internal/controllers/runtime.py
+++ b/src/dykemast/_internal/controllers/runtime.py
@@ -1,4 +1,4 @@
-"""All parts of a router put together, and its planned stop."""
+"""Start and planned stop of a router."""
 
 import asyncio
 import random
@@ -17,20 +17,20 @@
 
 _log = logbook.Logger('router')
 
-#: Seconds that listeners may take to send what was answered and to close idle
-#: connections: they look each 0.1 s whether to, and wait 0.1 s.
+#: Listeners send pending responses and close idle connections; they check
+#: every 0.1 s whether to stop, and wait 0.1 s.
 CLOSE_TIMEOUT_S: Final = 1.0
-#: Tries to give all leases back at a planned stop.
+#: Attempts to return all leases at a planned stop.
 CLOSE_ATTEMPTS: Final = 5
 
 
 class Runtime(NamedTuple):
-    """A router that runs.
+    """A running router.
 
-    :param assembly: its parts.
+    :param assembly: its components.
     :param listeners: for callers and operators.
     :param peers: server for other routers.
-    :param tasks: loops of the controllers.
+    :param tasks: background loops of the controllers.
     """
 
     assembly: Assembly
@@ -39,15 +39,15 @@
     tasks: list[asyncio.Task[None]]
 
     async def stop(self, hasten: asyncio.Event) -> None:
-        """Stop without cutting off a request.
+        """Drain the requests in progress, then stop.
 
-        :param hasten: set when requests in progress may be cut off.
+        :param hasten: set when requests in progress may be cancelled.
         """
         board = self.assembly.parts.board
         plan = stopping.begin_stop(board)
         await self.assembly.news.spread()
         await stopping.wait_until_unused(board, plan, hasten)
-        # From here on nothing is let in that nobody would wait for.
+        # A request admitted from here on would not be waited for.
         stopping.close_admission(board, plan)
         await close_listeners(self.listeners, CLOSE_TIMEOUT_S)
         await self._return_leases()
@@ -59,7 +59,7 @@
             try:
                 await self._write_remaining()
             except DykemastError as error:
-                _log.warning('router: leases not back yet: {}', error)
+                _log.warning('router: leases not returned yet: {}', error)
                 await asyncio.sleep(attempt)
             else:
                 return
@@ -80,10 +80,10 @@
 async def open_runtime(board: Blackboard, chance: random.Random) -> Runtime:
     """Start a router.
 
-    The address for other routers is bound first: that it could be bound
-    shows that the process before on this instance has ended.
+    The address for other routers is bound first, which confirms that the
+    previous process of this instance has ended.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param chance: source of randomness.
     :returns: the running router.
     """
--- a/src/dykemast/_internal/controllers/sessions.py
+++ b/src/dykemast/_internal/controllers/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of a router with everybody else."""
+"""Sessions of a router with the platform, peers and backend servers."""
 
 from typing import NamedTuple
 
@@ -32,7 +32,7 @@
 
 
 def open_sessions(settings: RouterSettings) -> Sessions:
-    """Make the sessions; connections open when they are used.
+    """Make the sessions; connections open on first use.
 
     :param settings: of the router.
     :returns: the sessions.
--- a/src/dykemast/_internal/controllers/stopping.py
+++ b/src/dykemast/_internal/controllers/stopping.py
@@ -1,4 +1,4 @@
-"""Who is let in while a planned stop goes on."""
+"""Admission during a planned stop."""
 
 import asyncio
 
@@ -9,10 +9,10 @@
 
 
 def begin_stop(board: Blackboard) -> StopPlan:
-    """Begin a stop: callers use kept entry answers for a while yet.
+    """Begin a stop; callers still use cached entry responses for a while.
 
-    :param board: the blackboard.
-    :returns: the plan, which binds admission from now on.
+    :param board: shared state of the router.
+    :returns: the plan, which limits admission from now on.
     """
     settings = board.settings
     kept = settings.get('keep_entry', 0)
@@ -29,11 +29,11 @@
     plan: StopPlan,
     hasten: asyncio.Event,
 ) -> None:
-    """Wait until no request is in progress and none is to be expected.
+    """Wait until no request is in progress and none is expected.
 
-    :param board: the blackboard.
-    :param plan: of the stop.
-    :param hasten: set when requests in progress may be cut off.
+    :param board: shared state of the router.
+    :param plan: plan of the stop.
+    :param hasten: set when requests in progress may be cancelled.
     """
 
     def is_over(now: float) -> bool:
@@ -45,9 +45,9 @@
 
 
 def close_admission(board: Blackboard, plan: StopPlan) -> None:
-    """Let nothing in any more.
+    """Admit no more requests.
 
-    :param board: the blackboard.
-    :param plan: of the stop.
+    :param board: shared state of the router.
+    :param plan: plan of the stop.
     """
     board.traffic.stop_plan = plan.close()
--- a/tests/unit/test_call_headers.py
+++ b/tests/unit/test_call_headers.py
@@ -1,10 +1,10 @@
-"""Which header fields of a caller a plain service gets."""
+"""Headers of callers that are forwarded to a plain service."""
 
 from starlette.datastructures import Headers
 
 from dykemast._internal.path.orders import make_call_request
 
-#: Each may be said by a caller, and none of them reaches the service.
+#: Callers may send these, but none reaches the service.
 DROPPED = (
     (b'connection', b'close, X-Once'),
     (b'connection', b'x-twice'),
@@ -19,8 +19,8 @@
 
 
 def test_fields_of_one_connection_or_of_routers_end_here() -> None:
-    # What `Connection` lists went on, and so did a fencing number, by which a
-    # caller could have had a service refuse its router.
+    # Guards against forwarding headers that `Connection` lists, and a fencing
+    # number, with which a caller could make a service refuse its router.
     service = {'name': 'orders', 'kind': 'plain'}
     headers = Headers(raw=[*DROPPED, *PASSED])
     order = make_call_request(service, '/a', 'POST', headers)
--- a/tests/unit/test_gates.py
+++ b/tests/unit/test_gates.py
@@ -1,4 +1,4 @@
-"""Slots of a service: urgent first, bounded, and refused at once."""
+"""Slots of a service: priority order, bounded queue, early refusal."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 async def run_other_tasks() -> None:
-    """Let all other tasks go on as far as they can."""
+    """Let all other tasks run as far as they can."""
     for _ in range(5):
         await asyncio.sleep(0)
 
--- a/tests/unit/test_ports.py
+++ b/tests/unit/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports for programs that listen later."""
+"""Reservation of ports for programs that listen later."""
 
 import contextlib
 import socket
@@ -12,9 +12,9 @@
 
 
 def test_no_port_is_given_twice_or_by_the_system() -> None:
-    # A run of the soak asked a server what it had run, and the store answered:
-    # its port had been found, and was then given to a proxy of the store that
-    # asked the system for any port before the server listened.
+    # Guards against a port that is found, but assigned by the system to another
+    # program (a proxy of the store) before the server listens on it: calls to
+    # the server then reach the store.
     found = [port for _ in range(50) for port in find_ports(8)]
     assert len(set(found)) == len(found)
     assert set(found) <= set(PORTS)
@@ -22,8 +22,8 @@
 
 
 def test_a_port_is_kept_for_whoever_found_it() -> None:
-    # Of two runs of the tests at once one got 404 of another program in place
-    # of its plain service: both had found the port before either listened.
+    # Guards against two concurrent test runs that find the same port before
+    # either listens: one then gets 404 from a program of the other.
     port = find_ports(1)[0]
     command = [sys.executable, '-c', RESERVE, str(port)]
     other = subprocess.run(command, capture_output=True, check=True)
--- a/tests/unit/test_router_loops.py
+++ b/tests/unit/test_router_loops.py
@@ -1,11 +1,9 @@
-"""No task of ``dykemast router`` ends in silence, with what waits for it.
-
-One unexpected error ended the task that read the list of backend servers on
-the users' platform, and its router stayed ready. The same cause stood here,
-found by reading every task that is started: a loop that failed ran once and
-never again; and the writer of a shard ended with its batch, so that callers
-who wait for a claim or for room in a budget were not answered at all (no
-answer within 2 s, nor to any that came later).
+"""Background tasks of ``dykemast router`` survive unexpected errors.
+
+Guards against a loop that never runs again after an error while its router
+stays ready, and against a shard writer that ends with its batch: callers that
+wait for a claim or for tokens, then and later, would get no response (none
+within 2 s).
 """
 
 import asyncio
@@ -28,7 +26,7 @@
 
 @contextlib.asynccontextmanager
 async def run_router(lister: Any) -> AsyncIterator[runtime.Runtime]:
-    """Run the loops of a router whose list of instances is read by another."""
+    """Run the loops of a router with another poller of instances."""
     with (
         mock.patch.object(InstanceLister, 'run', lister),
         mock.patch.object(runtime, 'open_server', mock.AsyncMock()),
@@ -55,7 +53,7 @@
 
     async def fail(_: InstanceLister) -> None:
         runs.append(len(runs))
-        raise AttributeError('nobody expects this')
+        raise AttributeError('unexpected error')
 
     async with run_router(fail):
         assert await wait_for(lambda: len(runs) > 1)
@@ -63,10 +61,10 @@
 
 def make_failing_ledger(_: str) -> LedgerCallbacks:
     """Make a ledger whose first merge fails unexpectedly."""
-    errors = [AttributeError('nobody expects this')]
+    errors = [AttributeError('unexpected error')]
 
     async def load() -> None:
-        """There is nothing to read."""
+        """Read nothing."""
 
     def merge(intents: list[Any]) -> Merge:
         if errors:
