--- a/src/dykemast/_internal/controllers/assembly.py
+++ b/src/dykemast/_internal/controllers/assembly.py
@@ -36,7 +36,7 @@
     parts: Parts
     sessions: sessions.Sessions
     keepers: keepers.Keepers
-    news: news.News
+    news: news.GossipExchange
     follower: configuration.ConfigurationFollower
     store: RevisionStore
 
@@ -87,7 +87,7 @@
         parts=request_parts.make_parts(board, opened, ways, chance),
         sessions=opened,
         keepers=ways,
-        news=news.News(board, opened.peers),
+        news=news.GossipExchange(board, opened.peers),
         follower=configuration.ConfigurationFollower(
             board, store, opened.peers
         ),
--- a/src/dykemast/_internal/controllers/keepers.py
+++ b/src/dykemast/_internal/controllers/keepers.py
@@ -58,7 +58,7 @@
         client: PeerClient,
         kinds: dict[str, LedgerKind],
     ) -> None:
-        """Make an object with no open shard."""
+        """Open shards on their first intents."""
         self._board = board
         self._client = client
         self._kinds = kinds
@@ -124,12 +124,12 @@
         :returns: its instance id, or ``None`` when there is no live router.
         """
         now = read_clock()
-        keepers = [
+        owners = [
             name
             for name in list_owners(self._board, now)
             if self._avoided.get(name, 0) < now
         ]
-        return choose_owner(ledger, keepers)
+        return choose_owner(ledger, owners)
 
     def close(self) -> None:
         """Cancel all group commits."""
--- a/src/dykemast/_internal/controllers/load_reports.py
+++ b/src/dykemast/_internal/controllers/load_reports.py
@@ -34,10 +34,10 @@
     async def run(self) -> None:
         """Poll load reports until cancelled."""
         while True:
-            workers = self._list_workers()
-            due = choose_due(workers, self._board.loads.reports)
+            servers = self._list_servers()
+            due = choose_due(servers, self._board.loads.reports)
             await asyncio.gather(*(self._read(one) for one in due))
-            names = {instance.name for instance in workers}
+            names = {instance.name for instance in servers}
             reports = self._board.loads.reports
             for gone in set(reports) - names:
                 reports.pop(gone)
@@ -52,7 +52,7 @@
         own = self._board.traffic.by_worker.get(instance.name, 0)
         self._board.loads.reports[instance.name] = report._replace(own=own)
 
-    def _list_workers(self) -> list[Instance]:
+    def _list_servers(self) -> list[Instance]:
         engines = {
             service['name']
             for service in self._list_services()
@@ -70,15 +70,15 @@
 
 
 def choose_due(
-    workers: list[Instance],
+    servers: list[Instance],
     reports: dict[str, LoadReport],
 ) -> list[Instance]:
     """Choose the backend servers to poll in this round.
 
-    :param workers: all backend servers.
+    :param servers: all backend servers.
     :param reports: their last reports.
     :returns: those whose report is oldest, or missing.
     """
     return sorted(
-        workers, key=lambda one: reports.get(one.name, LoadReport()).at
+        servers, key=lambda one: reports.get(one.name, LoadReport()).at
     )[:MAX_ASKED]
--- a/src/dykemast/_internal/controllers/news.py
+++ b/src/dykemast/_internal/controllers/news.py
@@ -25,7 +25,7 @@
 GOSSIP_FANOUT: Final = 3
 
 
-class News:
+class GossipExchange:
     """Gossip with other routers.
 
     :param board: shared state of the router.
@@ -33,7 +33,7 @@
     """
 
     def __init__(self, board: Blackboard, client: PeerClient) -> None:
-        """Make a gossiper with no rounds done."""
+        """Seed the choice of peers with the incarnation."""
         self._board = board
         self._client = client
         self._beat = 0
@@ -45,21 +45,21 @@
             await self.spread()
             await asyncio.sleep(GOSSIP_INTERVAL_S)
 
-    async def handle_gossip(self, news: Any) -> Any:
+    async def handle_gossip(self, message: Any) -> Any:
         """Merge a peer's gossip message and return this router's.
 
-        :param news: a ``Gossip``.
+        :param message: a ``Gossip``.
         :returns: a ``Gossip``.
         """
         fleet = self._board.fleet
         now = read_clock()
-        for card in news.cards:
+        for card in message.cards:
             if card.instance != self._board.settings['instance']:
                 peers.record_card(
                     fleet, peer_codec.unpack_card(card), card.beat, now
                 )
         listed = {instance.name for instance in fleet.instances}
-        fleet.leaving.update(set(news.leaving) & listed)
+        fleet.leaving.update(set(message.leaving) & listed)
         return self._make_message()
 
     async def spread(self) -> None:
@@ -75,7 +75,7 @@
 
     async def _exchange_with(self, card: PeerCard) -> None:
         try:
-            news = await self._client.call(
+            message = await self._client.call(
                 card, 'exchange', (self._make_message(),)
             )
         except DykemastError as error:
@@ -84,7 +84,7 @@
             # heartbeat, direct or relayed by a peer, restores it.
             peers.mark_unreachable(self._board.fleet, card.instance)
             return
-        await self.handle_gossip(news)
+        await self.handle_gossip(message)
 
     def _make_message(self) -> Any:
         self._beat += 1
--- a/src/dykemast/_internal/controllers/peer_calls.py
+++ b/src/dykemast/_internal/controllers/peer_calls.py
@@ -4,7 +4,7 @@
     ConfigurationFollower,
 )
 from dykemast._internal.controllers.keepers import Keepers
-from dykemast._internal.controllers.news import News
+from dykemast._internal.controllers.news import GossipExchange
 from dykemast._internal.network import ledger_codec
 from dykemast._internal.network.peer_server import PeerCalls
 from dykemast._internal.path.parts import Parts
@@ -13,7 +13,7 @@
 def make_peer_calls(
     parts: Parts,
     keepers: Keepers,
-    news: News,
+    news: GossipExchange,
     follower: ConfigurationFollower,
 ) -> PeerCalls:
     """Connect the calls of other routers to the components that serve them.
--- a/src/dykemast/_internal/controllers/reclaims.py
+++ b/src/dykemast/_internal/controllers/reclaims.py
@@ -40,7 +40,7 @@
         ways: keepers.Keepers,
         lease_registry: leases.Leases,
     ) -> None:
-        """Make an object with no shard loaded."""
+        """Load shards on the first check."""
         self._leases = lease_registry
         self._board = board
         self._platform = platform
--- a/src/dykemast/_internal/controllers/retention.py
+++ b/src/dykemast/_internal/controllers/retention.py
@@ -32,7 +32,7 @@
         platform: Platform,
         keepers: Keepers,
     ) -> None:
-        """Make an object with nothing dropped."""
+        """Make the trimmer of one router."""
         self._board = board
         self._platform = platform
         self._keepers = keepers
--- a/src/dykemast/_internal/network/caller_api.py
+++ b/src/dykemast/_internal/network/caller_api.py
@@ -11,7 +11,7 @@
 
 from dykemast._internal.network.metrics import Metrics
 from dykemast._internal.path import bodies, calls, chat, entries, refusals
-from dykemast._internal.path.orders import CHAT_PATH
+from dykemast._internal.path.backend_requests import CHAT_PATH
 from dykemast._internal.path.parts import Parts, RefusedError
 from dykemast._internal.utils.clock import read_clock
 
--- a/src/dykemast/_internal/path/calls.py
+++ b/src/dykemast/_internal/path/calls.py
@@ -7,7 +7,7 @@
 
 from dykemast._internal.models import requests
 from dykemast._internal.models.revisions import ServiceSpec, WorkspaceSpec
-from dykemast._internal.path import admission, choices, orders
+from dykemast._internal.path import admission, choices, backend_requests
 from dykemast._internal.path.call_answers import pass_on
 from dykemast._internal.path.claims import claim
 from dykemast._internal.path.jobs import Job
@@ -56,7 +56,7 @@
     path = '/{}'.format(request.path_params['path'])
     if request.url.query:
         path = '{}?{}'.format(path, request.url.query)
-    return orders.make_call_request(
+    return backend_requests.make_call_request(
         service, path, request.method, request.headers
     )
 
--- a/src/dykemast/_internal/path/chat.py
+++ b/src/dykemast/_internal/path/chat.py
@@ -8,7 +8,7 @@
 
 from dykemast._internal.models.requests import Code, BackendRequest, Refusal
 from dykemast._internal.models.revisions import Configuration, WorkspaceSpec
-from dykemast._internal.path import admission, choices, orders, routes
+from dykemast._internal.path import admission, choices, backend_requests, routes
 from dykemast._internal.path.chat_answers import (
     Exchange,
     answer_stream,
@@ -85,7 +85,9 @@
     """Make a request for the first chosen model that a server has."""
     models = {model['name']: model for model in configuration['models']}
     made = [
-        orders.make_chat_request(fields, models[name], choice.decision.priority)
+        backend_requests.make_chat_request(
+            fields, models[name], choice.decision.priority
+        )
         for name in choice.decision.models
         if name in models
     ]
--- a/src/dykemast/_internal/path/chat_answers.py
+++ b/src/dykemast/_internal/path/chat_answers.py
@@ -18,7 +18,7 @@
 from dykemast._internal.path import background, relays, routes
 from dykemast._internal.path.jobs import CUT, Job, Outcome
 from dykemast._internal.path.parts import RefusedError
-from dykemast._internal.path.seen_stream import StreamProgress
+from dykemast._internal.path.stream_progress import StreamProgress
 
 _log = logbook.Logger('relay')
 
--- a/src/dykemast/_internal/path/entrances.py
+++ b/src/dykemast/_internal/path/entrances.py
@@ -13,7 +13,7 @@
 from dykemast._internal.utils.clock import read_clock
 
 #: Concurrent requests of one backend server, by default.
-WORKER_SLOTS: Final = 64
+DEFAULT_SERVER_SLOTS: Final = 64
 MAX_SLOT_WAIT_S: Final = 1.0
 
 
@@ -40,13 +40,13 @@
 def _count_slots(parts: Parts, backend_request: BackendRequest) -> int:
     services = find_configuration(parts.board)['services']
     slots = next(
-        service.get('worker_slots', WORKER_SLOTS)
+        service.get('worker_slots', DEFAULT_SERVER_SLOTS)
         for service in services
         if service['name'] == backend_request.service
     )
     routers = list_owners(parts.board, read_clock())
-    workers = list_candidates(parts, backend_request)
-    return count_slots(len(workers), slots, len(routers))
+    servers = list_candidates(parts, backend_request)
+    return count_slots(len(servers), slots, len(routers))
 
 
 def _refuse(gate: Gate, backend_request: BackendRequest) -> Refusal:
--- a/src/dykemast/_internal/path/gates.py
+++ b/src/dykemast/_internal/path/gates.py
@@ -91,13 +91,13 @@
             self.admit()
 
 
-def count_slots(workers: int, worker_slots: int, routers: int) -> int:
+def count_slots(servers: int, worker_slots: int, routers: int) -> int:
     """Compute this router's share of a service's slots.
 
-    :param workers: backend servers of the service that do not leave.
+    :param servers: backend servers of the service that do not leave.
     :param worker_slots: concurrent requests of one server.
     :param routers: routers that share the servers.
     :returns: at least 1.
     """
-    share = workers * worker_slots / max(1, routers)
+    share = servers * worker_slots / max(1, routers)
     return max(1, math.ceil(share))
--- a/src/dykemast/_internal/path/routes.py
+++ b/src/dykemast/_internal/path/routes.py
@@ -57,13 +57,13 @@
         if failure and not _may_retry(parts, job, failure):
             break
         try:
-            return await _try_worker(parts, job, backend_request, candidate)
+            return await _try_server(parts, job, backend_request, candidate)
         except UpstreamError as error:
             failure = _choose_failure(failure, error)
     raise RefusedError(_refuse(job, backend_request, failure))
 
 
-async def _try_worker(
+async def _try_server(
     parts: Parts,
     job: Job,
     backend_request: BackendRequest,
--- a/src/dykemast/_internal/path/turns.py
+++ b/src/dykemast/_internal/path/turns.py
@@ -7,7 +7,7 @@
     """Queues by order key; empty queues are removed."""
 
     def __init__(self) -> None:
-        """Make an object without queues."""
+        """Make queues on the first use of their order key."""
         self._last: dict[str, asyncio.Future[None]] = {}
 
     async def take(self, order: str) -> asyncio.Future[None]:
--- a/tests/unit/test_call_headers.py
+++ b/tests/unit/test_call_headers.py
@@ -2,7 +2,7 @@
 
 from starlette.datastructures import Headers
 
-from dykemast._internal.path.orders import make_call_request
+from dykemast._internal.path.backend_requests import make_call_request
 
 #: Callers may send these, but none reaches the service.
 DROPPED = (
--- a/tests/unit/test_gates.py
+++ b/tests/unit/test_gates.py
@@ -70,5 +70,5 @@
 
 
 def test_slots_are_shared_by_the_routers() -> None:
-    assert count_slots(workers=9, worker_slots=64, routers=8) == 72
-    assert count_slots(workers=0, worker_slots=64, routers=8) == 1
+    assert count_slots(servers=9, worker_slots=64, routers=8) == 72
+    assert count_slots(servers=0, worker_slots=64, routers=8) == 1
