--- a/src/dykemast/_internal/controllers/lease_renewals.py
+++ b/src/dykemast/_internal/controllers/lease_renewals.py
@@ -44,7 +44,7 @@
         self._belongs = belongs
         self.reads = ReadLog()
         self._seen = 0
-        self._turn = asyncio.Lock()
+        self._renewal_lock = asyncio.Lock()
 
     async def run(self, on_round: Callable[[], None]) -> None:
         """Renew leases until cancelled.
@@ -71,7 +71,7 @@
 
         :raises PlatformError: when the shard could not be written.
         """
-        async with self._turn:
+        async with self._renewal_lock:
             await self._renew()
 
     async def _renew(self) -> None:
--- a/src/dykemast/_internal/controllers/load_reports.py
+++ b/src/dykemast/_internal/controllers/load_reports.py
@@ -14,8 +14,8 @@
 _log = logbook.Logger('load')
 
 LOAD_INTERVAL_S: Final = 1.0
-#: Backend servers polled in one round, those with the oldest reports first.
-#: Older reports count less in the choice of a server.
+#: Backend servers polled in one round, whatever their number, those with the
+#: oldest reports first. Older reports count less in the choice of a server.
 MAX_ASKED: Final = 32
 
 
--- a/tests/unit/test_call_headers.py
+++ b/tests/unit/test_call_headers.py
@@ -18,7 +18,7 @@
 PASSED = ((b'accept', b'text/plain'), (b'x-app', b'1'))
 
 
-def test_fields_of_one_connection_or_of_routers_end_here() -> None:
+def test_hop_by_hop_and_router_headers_are_not_forwarded() -> None:
     # Guards against forwarding headers that `Connection` lists, and a fencing
     # number, with which a caller could make a service refuse its router.
     service = {'name': 'orders', 'kind': 'plain'}
--- a/tests/unit/test_gates.py
+++ b/tests/unit/test_gates.py
@@ -29,7 +29,7 @@
     assert entered == [9, 5, 1]
 
 
-async def test_hopeless_request_is_refused_at_once() -> None:
+async def test_request_that_would_time_out_is_refused_at_once() -> None:
     gate = Gate()
     await gate.enter(5, 1)
     gate.duration = 3
@@ -57,7 +57,7 @@
         task.cancel()
 
 
-async def test_slot_is_not_lost_by_who_gives_up() -> None:
+async def test_slot_is_not_lost_on_timeout_or_cancellation() -> None:
     gate = Gate()
     await gate.enter(5, 1)
     assert not await gate.enter(5, 0)
--- a/tests/unit/test_router_loops.py
+++ b/tests/unit/test_router_loops.py
@@ -74,7 +74,7 @@
     return LedgerCallbacks(load, merge)
 
 
-async def test_who_waits_for_a_shard_is_told_when_its_writer_fails() -> None:
+async def test_shard_waiters_get_an_error_when_the_writer_fails() -> None:
     kind = keepers.LedgerKind(make_failing_ledger, list, 0)
     way = keepers.Keepers(make_board(), mock.Mock(), {'shard': kind})
     try:
--- a/tools/fleet_mutations.py
+++ b/tools/fleet_mutations.py
@@ -174,7 +174,7 @@
         'renew and close leases out of order',
         'leases are given back',
         f'{_INTERNAL}/controllers/lease_renewals.py',
-        'async with self._turn:\n            await self._renew()',
+        'async with self._renewal_lock:\n            await self._renew()',
         'await self._renew()',
         'test_lease_renewals',
     ),
