--- a/src/dykemast/_internal/controllers/lease_renewals.py
+++ b/src/dykemast/_internal/controllers/lease_renewals.py
@@ -17,17 +17,16 @@
 
 _log = logbook.Logger('lease')
 
-#: Seconds between two looks at the leases of a shard.
-TICK: Final = 0.5
+RENEWAL_INTERVAL_S: Final = 0.5
 
 
 class LeaseRenewer:
-    """Renews leases of one shard, one batch at a time.
+    """Renews the leases of one shard, one batch at a time.
 
     :param lease_registry: leases of this router.
-    :param keepers: way to the shard.
+    :param keepers: access to the shard.
     :param ledger: name of the shard.
-    :param belongs: tells whether a budget is of the shard.
+    :param belongs: checks whether a budget belongs to the shard.
     """
 
     def __init__(
@@ -37,61 +36,61 @@
         ledger: str,
         belongs: Callable[[str], bool],
     ) -> None:
-        """Start with nothing renewed."""
+        """Make a renewer."""
         self.kick = asyncio.Event()
         self.away = False
-        self._book = lease_registry
+        self._lease_registry = lease_registry
         self._commit = functools.partial(keepers.commit, ledger)
         self._belongs = belongs
         self.reads = ReadLog()
         self._seen = 0
-        self._turn = asyncio.Lock()
+        self._renewal_lock = asyncio.Lock()
 
-    async def run(self, on_news: Callable[[], None]) -> None:
-        """Renew until cancelled.
+    async def run(self, on_round: Callable[[], None]) -> None:
+        """Renew leases until cancelled.
 
-        :param on_news: called after each round.
+        :param on_round: called after each round.
         """
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TICK):
+                async with asyncio.timeout(RENEWAL_INTERVAL_S):
                     await self.kick.wait()
             self.kick.clear()
             try:
                 await self.renew()
             except DykemastError as error:
                 self.away = True
-                _log.warning('lease: not renewed: {}', error)
-            on_news()
+                _log.warning('lease: renewal failed: {}', error)
+            on_round()
 
     async def renew(self) -> None:
-        """Renew what is due, after the renewal under way.
+        """Renew the leases that are due, after a renewal in progress.
 
-        A closing that overtook a lease's first intent would find no row to
-        close, and the intent would open one that nobody gives back.
+        A close that overtakes the first intent of a lease would find no row,
+        and the intent would then open one that is never returned.
 
-        :raises PlatformError: when nobody could write.
+        :raises PlatformError: when the shard could not be written.
         """
-        async with self._turn:
+        async with self._renewal_lock:
             await self._renew()
 
     async def _renew(self) -> None:
-        plans = self._book.plan_renewals(
+        plans = self._lease_registry.plan_renewals(
             self._belongs, read_clock(), self._seen
         )
         if not plans:
             return
         started = read_clock()
         for ack in await self._commit(plans):
-            self._take(ack)
+            self._apply_ack(ack)
             if ack.version:
-                # It stood when it was written, so it was no newer before.
+                # At `started` the version was this one or an older one.
                 self.reads.record_read(ack.version, started)
         self.away = False
 
-    def _take(self, ack: BudgetAck) -> None:
+    def _apply_ack(self, ack: BudgetAck) -> None:
         self._seen = max(self._seen, ack.version)
-        self._book.apply_ack(ack, read_clock())
+        self._lease_registry.apply_ack(ack, read_clock())
         _log.info(
             'lease: {} allotted {} armed {} free {} target {}.',
             ack.budget,
--- a/src/dykemast/_internal/controllers/news.py
+++ b/src/dykemast/_internal/controllers/news.py
@@ -1,6 +1,6 @@
-"""Exchange news among routers: who is up, who is leaving.
+"""Gossip between routers: which are live and which are leaving.
 
-Writes the peers' fields of the blackboard's fleet section.
+Writes the peers in the fleet section of the shared state.
 """
 
 import asyncio
@@ -20,71 +20,73 @@
 
 _log = logbook.Logger('member')
 
-#: Seconds between two rounds of news.
-NEWS_INTERVAL: Final = 1.0
-#: Peers that get news in one round, whatever the fleet's size.
-NEWS_FANOUT: Final = 3
+GOSSIP_INTERVAL_S: Final = 1.0
+#: Peers contacted in one gossip round, whatever the fleet's size.
+GOSSIP_FANOUT: Final = 3
 
 
-class News:
-    """Exchange with other routers.
+class GossipExchange:
+    """Gossip with other routers.
 
-    :param board: the blackboard.
+    :param board: shared state of the router.
     :param client: calls to other routers.
     """
 
     def __init__(self, board: Blackboard, client: PeerClient) -> None:
-        """Start knowing nobody."""
+        """Seed the choice of peers with the incarnation."""
         self._board = board
         self._client = client
         self._beat = 0
         self._chance = random.Random(board.incarnation)
 
     async def run(self) -> None:
-        """Exchange news until cancelled."""
+        """Run gossip rounds until cancelled."""
         while True:
             await self.spread()
-            await asyncio.sleep(NEWS_INTERVAL)
+            await asyncio.sleep(GOSSIP_INTERVAL_S)
 
-    async def take_news(self, news: Any) -> Any:
-        """Take in a peer's news and tell this router's.
+    async def handle_gossip(self, message: Any) -> Any:
+        """Merge a peer's gossip message and return this router's.
 
-        :param news: a ``Gossip``.
+        :param message: a ``Gossip``.
         :returns: a ``Gossip``.
         """
         fleet = self._board.fleet
         now = read_clock()
-        for card in news.cards:
+        for card in message.cards:
             if card.instance != self._board.settings['instance']:
                 peers.record_card(
                     fleet, peer_codec.unpack_card(card), card.beat, now
                 )
         listed = {instance.name for instance in fleet.instances}
-        fleet.leaving.update(set(news.leaving) & listed)
-        return self._make_news()
+        fleet.leaving.update(set(message.leaving) & listed)
+        return self._make_message()
 
     async def spread(self) -> None:
-        """Exchange news with some peers, also those only listed yet."""
+        """Run a gossip round with some peers, including those only listed."""
         targets = list_gossip_targets(self._board)
-        count = min(NEWS_FANOUT, len(targets))
+        count = min(GOSSIP_FANOUT, len(targets))
         await asyncio.gather(
-            *(self._tell(card) for card in self._chance.sample(targets, count))
+            *(
+                self._exchange_with(card)
+                for card in self._chance.sample(targets, count)
+            )
         )
 
-    async def _tell(self, card: PeerCard) -> None:
+    async def _exchange_with(self, card: PeerCard) -> None:
         try:
-            news = await self._client.call(
-                card, 'exchange', (self._make_news(),)
+            message = await self._client.call(
+                card, 'exchange', (self._make_message(),)
             )
         except DykemastError as error:
-            _log.debug('member: {}', error)
-            # Callers and keepers' duties go elsewhere at once; the next
-            # heartbeat, from itself or by hearsay, brings it back.
+            _log.debug('member: gossip with a peer failed: {}', error)
+            # Callers and owned shards move to other routers at once; the next
+            # heartbeat, direct or relayed by a peer, restores it.
             peers.mark_unreachable(self._board.fleet, card.instance)
             return
-        await self.take_news(news)
+        await self.handle_gossip(message)
 
-    def _make_news(self) -> Any:
+    def _make_message(self) -> Any:
         self._beat += 1
         fleet = self._board.fleet
         now = read_clock()
--- a/src/dykemast/_internal/controllers/peer_calls.py
+++ b/src/dykemast/_internal/controllers/peer_calls.py
@@ -1,10 +1,10 @@
-"""What other routers may ask of this one."""
+"""Calls that other routers may make to this one."""
 
 from dykemast._internal.controllers.configuration import (
     ConfigurationFollower,
 )
 from dykemast._internal.controllers.keepers import Keepers
-from dykemast._internal.controllers.news import News
+from dykemast._internal.controllers.news import GossipExchange
 from dykemast._internal.network import ledger_codec
 from dykemast._internal.network.peer_server import PeerCalls
 from dykemast._internal.path.parts import Parts
@@ -13,15 +13,15 @@
 def make_peer_calls(
     parts: Parts,
     keepers: Keepers,
-    news: News,
+    news: GossipExchange,
     follower: ConfigurationFollower,
 ) -> PeerCalls:
-    """Wire the calls of other routers to the parts that serve them.
+    """Connect the calls of other routers to the components that serve them.
 
     :param parts: leases, lending and bills.
     :param keepers: writes intents.
-    :param news: takes news.
-    :param follower: gives revisions.
+    :param news: handles gossip messages.
+    :param follower: serves revisions.
     :returns: the calls.
     """
 
@@ -32,7 +32,7 @@
         parts.leases.recall(budget)
 
     return PeerCalls(
-        exchange=news.take_news,
+        exchange=news.handle_gossip,
         commit=keepers.serve,
         lend=parts.lending.lend,
         hold_bills=hold_bills,
--- a/src/dykemast/_internal/path/orders.py
+++ b/src/dykemast/_internal/path/backend_requests.py
@@ -1,4 +1,4 @@
-"""Orders to backend servers, made of callers' requests."""
+"""Make requests to backend servers from callers' requests."""
 
 import json
 from typing import Any, Final
@@ -11,18 +11,18 @@
 from dykemast._internal.path.chat_bodies import refuse_bad
 from dykemast._internal.utils.hop_by_hop_headers import HOP_BY_HOP_HEADERS
 
-#: Path of the chat completions, here and at the engines.
+#: Path of chat completions, at routers and at engines.
 CHAT_PATH: Final = '/v1/chat/completions'
-#: Tokens that an engine's template may add to a prompt.
+#: Upper bound of what an engine's template adds to a prompt.
 TEMPLATE_TOKENS: Final = 64
-#: Tokens that it may add for each message.
+#: Upper bound of what it adds for each message.
 MESSAGE_TOKENS: Final = 16
-#: Leading characters of a prompt that decide which worker has it cached.
+#: Leading characters of a prompt that decide which server has it cached.
 PREFIX_CHARACTERS: Final = 512
-_CAPS: Final = frozenset(('max_tokens', 'max_completion_tokens'))
-#: Fields that end here: those of one connection, those for this router, and
-#: the fencing number, which only a router may say.
-_ENDS_HERE: Final = HOP_BY_HOP_HEADERS.union(
+_OUTPUT_LIMITS: Final = frozenset(('max_tokens', 'max_completion_tokens'))
+#: Headers that are not forwarded: hop-by-hop headers, those for this router,
+#: and the fencing number, which only a router may set.
+_DROPPED_HEADERS: Final = HOP_BY_HOP_HEADERS.union(
     (
         'authorization',
         'host',
@@ -39,21 +39,21 @@
 )
 
 
-def make_chat_order(
+def make_chat_request(
     fields: dict[str, Any],
     model: ModelSpec,
     priority: int,
 ) -> BackendRequest:
-    """Make the order for a model.
+    """Make the backend request for a model.
 
-    The output cap is always sent, and the prompt cannot have more tokens
+    The output limit is always sent, and the prompt cannot have more tokens
     than bytes, so the hold bounds what the engine can consume.
 
     :param fields: of the caller's request.
     :param model: the model to use.
     :param priority: 0 to 9.
-    :returns: the order.
-    :raises RefusedError: when the caller's cap makes no sense.
+    :returns: the backend request.
+    :raises RefusedError: when the caller's output limit is invalid.
     """
     cap = _choose_cap(fields, model)
     sent = _fill_fields(fields, model['name'], cap)
@@ -76,7 +76,7 @@
 def _fill_fields(
     fields: dict[str, Any], model: str, cap: int
 ) -> dict[str, Any]:
-    sent = {name: fields[name] for name in fields if name not in _CAPS}
+    sent = {name: fields[name] for name in fields if name not in _OUTPUT_LIMITS}
     if fields.get('stream'):
         sent['stream_options'] = {'include_usage': True}
     return {**sent, 'model': model, 'max_tokens': cap}
@@ -88,23 +88,23 @@
     return len(text.encode('utf-8', 'surrogatepass')) + overhead
 
 
-def make_call_order(
+def make_call_request(
     service: ServiceSpec,
     path: str,
     method: str,
     headers: Headers,
 ) -> BackendRequest:
-    """Make the order for a call of a plain service.
+    """Make the backend request for a call of a plain service.
 
     :param service: the service.
     :param path: path and query to call.
     :param method: HTTP method.
     :param headers: of the caller's request.
-    :returns: the order, without its body.
+    :returns: the backend request, without its body.
     """
-    ends_here = _ENDS_HERE | _list_of_connection(headers)
+    dropped = _DROPPED_HEADERS | _list_connection_headers(headers)
     passed = {
-        name: text for name, text in headers.items() if name not in ends_here
+        name: text for name, text in headers.items() if name not in dropped
     }
     return BackendRequest(
         service=service['name'],
@@ -117,13 +117,15 @@
     )
 
 
-def _list_of_connection(headers: Headers) -> set[str]:
+def _list_connection_headers(headers: Headers) -> set[str]:
     listed = ','.join(headers.getlist('connection')).lower().split(',')
     return {name.strip() for name in listed}
 
 
 def _choose_cap(fields: dict[str, Any], model: ModelSpec) -> int:
-    caps = [fields[name] for name in _CAPS if fields.get(name) is not None]
+    caps = [
+        fields[name] for name in _OUTPUT_LIMITS if fields.get(name) is not None
+    ]
     for cap in caps:
         if not isinstance(cap, int) or isinstance(cap, bool) or cap < 1:
             raise refuse_bad('"max_tokens" is a whole number above 0.')
--- a/src/dykemast/_internal/path/background.py
+++ b/src/dykemast/_internal/path/background.py
@@ -1,4 +1,4 @@
-"""Work that outlives the caller's connection, e.g. a bill after a cut."""
+"""Background tasks that outlive the caller's connection."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -7,17 +7,17 @@
 _running: set[asyncio.Task[Any]] = set()
 
 
-def run_apart(work: Coroutine[Any, Any, Any]) -> None:
-    """Run something to its end, whatever happens to the caller.
+def run_in_background(work: Coroutine[Any, Any, Any]) -> None:
+    """Run a coroutine to its end, even if the caller disconnects.
 
-    :param work: what to run.
+    :param work: the coroutine.
     """
     task = asyncio.create_task(work)
     _running.add(task)
     task.add_done_callback(_running.discard)
 
 
-async def wait_apart() -> None:
-    """Wait until all such work is done."""
+async def wait_for_background() -> None:
+    """Wait until all background tasks are done."""
     while _running:
         await asyncio.gather(*_running, return_exceptions=True)
--- a/src/dykemast/_internal/path/bodies.py
+++ b/src/dykemast/_internal/path/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, within bounds of size and time."""
+"""Read the bodies of callers' requests, bounded in size and time."""
 
 import asyncio
 from typing import Final
@@ -8,10 +8,8 @@
 from dykemast._internal.models.requests import Code, Refusal
 from dykemast._internal.path.parts import RefusedError
 
-#: Bytes of a caller's body at most.
-MAX_BODY: Final = 1_048_576
-#: Seconds that a caller may take to send it.
-BODY_TIMEOUT: Final = 10.0
+MAX_BODY_BYTES: Final = 1_048_576
+BODY_TIMEOUT_S: Final = 10.0
 
 
 async def read_body(request: Request) -> bytes:
@@ -22,10 +20,10 @@
     :raises RefusedError: when it is too large or too slow.
     """
     try:
-        async with asyncio.timeout(BODY_TIMEOUT):
+        async with asyncio.timeout(BODY_TIMEOUT_S):
             return await _gather(request)
     except TimeoutError as error:
-        text = f'The body took longer than {BODY_TIMEOUT} s.'
+        text = f'The body took longer than {BODY_TIMEOUT_S} s.'
         raise RefusedError(Refusal(Code.too_late, text)) from error
     except ClientDisconnect as error:
         text = 'The caller went away while sending.'
@@ -36,7 +34,7 @@
     body = bytearray()
     async for chunk in request.stream():
         body += chunk
-        if len(body) > MAX_BODY:
-            text = f'The body is larger than {MAX_BODY} bytes.'
+        if len(body) > MAX_BODY_BYTES:
+            text = f'The body is larger than {MAX_BODY_BYTES} bytes.'
             raise RefusedError(Refusal(Code.too_large, text))
     return bytes(body)
--- a/src/dykemast/_internal/path/call_answers.py
+++ b/src/dykemast/_internal/path/call_answers.py
@@ -1,4 +1,4 @@
-"""Answers of plain services: passed on after their bill is durable."""
+"""Responses of plain services, sent on once their bill is durable."""
 
 import asyncio
 
@@ -17,24 +17,28 @@
     job: Job,
     backend_request: requests.BackendRequest,
 ) -> Response:
-    """Send a call and pass its answer on.
+    """Send a call and return its response.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param job: the request.
-    :param backend_request: what to send.
-    :returns: the answer.
-    :raises RefusedError: when there is none, or it broke off.
+    :param backend_request: the request to send.
+    :returns: the response for the caller.
+    :raises RefusedError: when there is none, or it is truncated.
     """
-    response = (await routes.send_order(parts, job, backend_request)).response
-    cut = Outcome(backend_request.token_limit, backend_request.token_limit, CUT)
+    response = (
+        await routes.send_backend_request(parts, job, backend_request)
+    ).response
+    truncated = Outcome(
+        backend_request.token_limit, backend_request.token_limit, CUT
+    )
     try:
         body = await relays.read_whole(response, job.context.deadline)
     except (UpstreamError, asyncio.CancelledError) as error:
         response.close()
-        background.run_apart(job.finish(cut))
+        background.run_in_background(job.finish(truncated))
         if isinstance(error, asyncio.CancelledError):
             raise
-        raise RefusedError(_refuse_cut(error)) from error
+        raise RefusedError(_refuse_truncated(error)) from error
     recorded = record(response, body)
     await job.finish(
         Outcome(
@@ -49,7 +53,7 @@
     return answer
 
 
-def _refuse_cut(error: Exception) -> requests.Refusal:
+def _refuse_truncated(error: Exception) -> requests.Refusal:
     return requests.Refusal(
         requests.Code.upstream_failed, str(error), requests.Ran.did_run
     )
--- a/src/dykemast/_internal/path/chat.py
+++ b/src/dykemast/_internal/path/chat.py
@@ -1,4 +1,4 @@
-"""Chat completions: from the caller's bytes to the begun answer."""
+"""Serve chat completions."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 from dykemast._internal.models.requests import Code, BackendRequest, Refusal
 from dykemast._internal.models.revisions import Configuration, WorkspaceSpec
-from dykemast._internal.path import admission, choices, orders, routes
+from dykemast._internal.path import admission, choices, backend_requests, routes
 from dykemast._internal.path.chat_answers import (
     Exchange,
     answer_stream,
@@ -25,18 +25,18 @@
 async def serve_chat(parts: Parts, request: Request, body: bytes) -> Response:
     """Serve one chat completion.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param request: the caller's request.
     :param body: its body.
-    :returns: the answer, streamed or whole.
+    :returns: the response, streamed or complete.
     :raises RefusedError: when it is refused.
     """
     workspace = admission.find_workspace(parts.board, request.headers)
-    context = admission.make_ask(
+    context = admission.make_request_context(
         parts.board, workspace['name'], request, safe=True
     )
     fields = read_chat(body)
-    admission.check_room(parts.board, workspace, context)
+    admission.check_capacity(parts.board, workspace, context)
     job = Job(parts, context)
     try:
         exchange = await _begin(parts, job, fields, workspace)
@@ -66,13 +66,13 @@
     configuration = admission.find_configuration(parts.board)
     choice = choices.choose(parts, configuration, workspace, seen)
     backend_request = _choose_model(parts, configuration, choice, fields)
-    job.hold = await choices.hold_first(
+    job.hold = await choices.hold_first_available(
         parts, job.context, choice, backend_request.token_limit
     )
     return Exchange(
         job,
         backend_request,
-        await routes.send_order(parts, job, backend_request),
+        await routes.send_backend_request(parts, job, backend_request),
     )
 
 
@@ -82,10 +82,12 @@
     choice: choices.Choice,
     fields: dict[str, Any],
 ) -> BackendRequest:
-    """Take the first chosen model that a worker has."""
+    """Make a request for the first chosen model that a server has."""
     models = {model['name']: model for model in configuration['models']}
     made = [
-        orders.make_chat_order(fields, models[name], choice.decision.priority)
+        backend_requests.make_chat_request(
+            fields, models[name], choice.decision.priority
+        )
         for name in choice.decision.models
         if name in models
     ]
@@ -96,6 +98,7 @@
         if list_candidates(parts, backend_request):
             return backend_request
         _log.info(
-            'policy: no worker has {}, falls back.', backend_request.model
+            'policy: no backend server has model {}; trying the next one.',
+            backend_request.model,
         )
     return made[0]
--- a/src/dykemast/_internal/path/entrances.py
+++ b/src/dykemast/_internal/path/entrances.py
@@ -1,4 +1,4 @@
-"""Let a request into its service, or refuse it for load."""
+"""Wait for a slot of a service, or refuse the request for load."""
 
 import math
 from typing import Final
@@ -12,27 +12,26 @@
 from dykemast._internal.path.parts import Parts, RefusedError
 from dykemast._internal.utils.clock import read_clock
 
-#: Requests that one server takes at a time, where not set.
-WORKER_SLOTS: Final = 64
-#: Seconds that a request waits for a slot at most.
-MAX_WAIT: Final = 1.0
+#: Concurrent requests of one backend server, by default.
+DEFAULT_SERVER_SLOTS: Final = 64
+MAX_SLOT_WAIT_S: Final = 1.0
 
 
-async def enter_gate(
+async def wait_for_slot(
     parts: Parts, job: Job, backend_request: BackendRequest
 ) -> None:
-    """Wait for a slot of the order's service; the job gives it back.
+    """Wait for a slot of the service; the job releases it.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param job: the request.
-    :param backend_request: what it wants to send.
-    :raises RefusedError: when there will be none soon enough.
+    :param backend_request: the request to send.
+    :raises RefusedError: when none is free in time.
     """
     gate = parts.gates.setdefault(backend_request.service, Gate())
     gate.slots = _count_slots(parts, backend_request)
     now = read_clock()
-    patience = min(MAX_WAIT, job.context.deadline - now)
-    if not await gate.enter(backend_request.priority, patience):
+    timeout_s = min(MAX_SLOT_WAIT_S, job.context.deadline - now)
+    if not await gate.enter(backend_request.priority, timeout_s):
         raise RefusedError(_refuse(gate, backend_request))
     entered = read_clock()
     job.on_release(lambda: gate.leave(read_clock() - entered))
@@ -41,13 +40,13 @@
 def _count_slots(parts: Parts, backend_request: BackendRequest) -> int:
     services = find_configuration(parts.board)['services']
     slots = next(
-        service.get('worker_slots', WORKER_SLOTS)
+        service.get('worker_slots', DEFAULT_SERVER_SLOTS)
         for service in services
         if service['name'] == backend_request.service
     )
     routers = list_owners(parts.board, read_clock())
-    workers = list_candidates(parts, backend_request)
-    return count_slots(len(workers), slots, len(routers))
+    servers = list_candidates(parts, backend_request)
+    return count_slots(len(servers), slots, len(routers))
 
 
 def _refuse(gate: Gate, backend_request: BackendRequest) -> Refusal:
--- a/src/dykemast/_internal/path/routes.py
+++ b/src/dykemast/_internal/path/routes.py
@@ -1,4 +1,4 @@
-"""Choose a backend server and send the order, again where that is safe."""
+"""Send a request to the best backend server, and retry where safe."""
 
 from typing import Final, NamedTuple
 
@@ -14,57 +14,56 @@
     Refusal,
 )
 from dykemast._internal.operations.worker_load import Candidate
-from dykemast._internal.path.candidates import note_sent, rank_candidates
-from dykemast._internal.path.entrances import enter_gate
+from dykemast._internal.path.candidates import record_sent, rank_candidates
+from dykemast._internal.path.entrances import wait_for_slot
 from dykemast._internal.path.jobs import Job
 from dykemast._internal.path.parts import Parts, RefusedError
 from dykemast._internal.utils.clock import read_clock
 
 _log = logbook.Logger('route')
 
-#: Workers tried for one request at most.
-MAX_TRIES: Final = 3
-#: Seconds after which another worker may be there.
-WORKER_RETRY: Final = 2
+MAX_ATTEMPTS: Final = 3
+#: Retry-After when no backend server can serve the request.
+NO_WORKER_RETRY_AFTER_S: Final = 2
 
 
 class Upstream(NamedTuple):
-    """An answer that has begun.
+    """A response whose head has arrived.
 
     :param instance: the backend server.
-    :param response: its answer; the body is still to be read.
+    :param response: its response; the body is still to be read.
     """
 
     instance: Instance
     response: aiohttp.ClientResponse
 
 
-async def send_order(
+async def send_backend_request(
     parts: Parts, job: Job, backend_request: BackendRequest
 ) -> Upstream:
-    """Send an order to the best worker, or to the next where that is safe.
+    """Send a request to the best server, or to the next where safe.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param job: the request.
-    :param backend_request: what to send.
-    :returns: the answer that has begun.
-    :raises RefusedError: when no worker gave one.
+    :param backend_request: the request to send.
+    :returns: the response, with its body unread.
+    :raises RefusedError: when no backend server responded.
     """
-    await enter_gate(parts, job, backend_request)
+    await wait_for_slot(parts, job, backend_request)
     parts.breakers.record_request()
     ranked = rank_candidates(parts, backend_request)
     failure: UpstreamError | None = None
-    for candidate in ranked[:MAX_TRIES]:
+    for candidate in ranked[:MAX_ATTEMPTS]:
         if failure and not _may_retry(parts, job, failure):
             break
         try:
-            return await _try_worker(parts, job, backend_request, candidate)
+            return await _try_server(parts, job, backend_request, candidate)
         except UpstreamError as error:
-            failure = _worse(failure, error)
+            failure = _choose_failure(failure, error)
     raise RefusedError(_refuse(job, backend_request, failure))
 
 
-async def _try_worker(
+async def _try_server(
     parts: Parts,
     job: Job,
     backend_request: BackendRequest,
@@ -89,7 +88,7 @@
         _log.warning('route: {} failed: {}', job.context.request, error)
         raise
     parts.breakers.record_success(instance.name)
-    note_sent(parts, job, instance.name)
+    record_sent(parts, job, instance.name)
     return Upstream(instance, response)
 
 
@@ -101,10 +100,12 @@
         return False
     if not failure.sent:
         return True
-    return job.context.repeatable and job.charge_lost()
+    return job.context.repeatable and job.charge_failed_attempt()
 
 
-def _worse(before: UpstreamError | None, error: UpstreamError) -> UpstreamError:
+def _choose_failure(
+    before: UpstreamError | None, error: UpstreamError
+) -> UpstreamError:
     return before if before and before.sent else error
 
 
@@ -116,10 +117,14 @@
     if failure is None:
         wanted = backend_request.model or 'room'
         text = f'No worker of {backend_request.service} has {wanted} now.'
-        return Refusal(Code.no_worker, text, retry_after=WORKER_RETRY)
+        return Refusal(
+            Code.no_worker, text, retry_after=NO_WORKER_RETRY_AFTER_S
+        )
     ran = Ran.unknown if failure.sent else Ran.not_run
     if read_clock() >= job.context.deadline:
         text = 'The deadline passed before the backend server answered.'
         return Refusal(Code.too_late, text, ran)
     text = f'The backend server failed: {failure}'
-    return Refusal(Code.upstream_failed, text, ran, retry_after=WORKER_RETRY)
+    return Refusal(
+        Code.upstream_failed, text, ran, retry_after=NO_WORKER_RETRY_AFTER_S
+    )
--- a/tests/unit/test_router_loops.py
+++ b/tests/unit/test_router_loops.py
@@ -1,11 +1,9 @@
-"""No task of ``dykemast router`` ends in silence, with what waits for it.
-
-One unexpected error ended the task that read the list of backend servers on
-the users' platform, and its router stayed ready. The same cause stood here,
-found by reading every task that is started: a loop that failed ran once and
-never again; and the writer of a shard ended with its batch, so that callers
-who wait for a claim or for room in a budget were not answered at all (no
-answer within 2 s, nor to any that came later).
+"""Background tasks of ``dykemast router`` survive unexpected errors.
+
+Guards against a loop that never runs again after an error while its router
+stays ready, and against a shard writer that ends with its batch: callers that
+wait for a claim or for tokens, then and later, would get no response (none
+within 2 s).
 """
 
 import asyncio
@@ -22,13 +20,13 @@
 from tests.unit.test_configuration import make_board
 from tools.polling import POLL
 
-PATIENCE = 5
-ANSWER_TIME = 2
+WAIT_TIMEOUT_S = 5
+ANSWER_TIMEOUT_S = 2
 
 
 @contextlib.asynccontextmanager
 async def run_router(lister: Any) -> AsyncIterator[runtime.Runtime]:
-    """Run the loops of a router whose list of instances is read by another."""
+    """Run the loops of a router with another poller of instances."""
     with (
         mock.patch.object(InstanceLister, 'run', lister),
         mock.patch.object(runtime, 'open_server', mock.AsyncMock()),
@@ -44,7 +42,7 @@
 
 async def wait_for(is_done: Callable[[], bool]) -> bool:
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not is_done():
                 await asyncio.sleep(POLL)
     return is_done()
@@ -55,7 +53,7 @@
 
     async def fail(_: InstanceLister) -> None:
         runs.append(len(runs))
-        raise AttributeError('nobody expects this')
+        raise AttributeError('unexpected error')
 
     async with run_router(fail):
         assert await wait_for(lambda: len(runs) > 1)
@@ -63,10 +61,10 @@
 
 def make_failing_ledger(_: str) -> LedgerCallbacks:
     """Make a ledger whose first merge fails unexpectedly."""
-    errors = [AttributeError('nobody expects this')]
+    errors = [AttributeError('unexpected error')]
 
     async def load() -> None:
-        """There is nothing to read."""
+        """Read nothing."""
 
     def merge(intents: list[Any]) -> Merge:
         if errors:
@@ -76,16 +74,16 @@
     return LedgerCallbacks(load, merge)
 
 
-async def test_who_waits_for_a_shard_is_told_when_its_writer_fails() -> None:
+async def test_shard_waiters_get_an_error_when_the_writer_fails() -> None:
     kind = keepers.LedgerKind(make_failing_ledger, list, 0)
     way = keepers.Keepers(make_board(), mock.Mock(), {'shard': kind})
     try:
-        async with asyncio.timeout(ANSWER_TIME):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             await way.commit_here('shard/0', ['first'])
     except PlatformError as error:
         assert 'AttributeError' in str(error)
     else:
         raise AssertionError('a write that failed was confirmed')
-    async with asyncio.timeout(ANSWER_TIME):
+    async with asyncio.timeout(ANSWER_TIMEOUT_S):
         assert await way.commit_here('shard/0', ['second']) == ['second']
     way.close()
