--- a/src/dykemast/_internal/models/budget_ledger.py
+++ b/src/dykemast/_internal/models/budget_ledger.py
@@ -1,17 +1,16 @@
-"""A workspace's budget, as it is written down in the store."""
+"""A workspace's budget, as it is stored in the object store."""
 
 from typing import NamedTuple
 
 
 class LedgerRow(NamedTuple):
-    """What one incarnation of a router may consume of a budget.
+    """Tokens that one incarnation of a router may consume of a budget.
 
     :param instance: its instance.
-    :param limit: tokens that it may have consumed, at the most.
-    :param spent: tokens that are known to be consumed.
-    :param charged: tokens that were consumed, held or lent when it was
-        written.
-    :param demand: tokens a second that requests asked for lately.
+    :param limit: upper bound of the tokens consumed.
+    :param spent: tokens known to be consumed.
+    :param charged: tokens consumed, held or lent when the row was written.
+    :param demand: recent demand, in tokens per second.
     """
 
     instance: str
@@ -21,7 +20,7 @@
     demand: float
 
     def count_spare(self) -> int:
-        """Count the tokens allowed beyond what was charged.
+        """Count the tokens allowed beyond those charged.
 
         :returns: tokens.
         """
@@ -31,12 +30,12 @@
 class BudgetLedger(NamedTuple):
     """A workspace's budget in the store.
 
-    :param version: of the configuration that ``prepaid`` is from.
+    :param version: version of the configuration that ``prepaid`` is from.
     :param prepaid: tokens paid for.
-    :param rows: by incarnation.
+    :param rows: rows by incarnation.
     :param closed: tokens charged for ended incarnations.
     :param closed_spent: tokens that these are known to have consumed.
-    :param closed_spare: tokens that these kept spare, consumed by nobody.
+    :param closed_spare: spare tokens of these, charged but not consumed.
     """
 
     version: int
@@ -47,9 +46,9 @@
     closed_spare: int = 0
 
     def has_valid_counts(self) -> bool:
-        """Tell whether the counts can be: one below 0 would make tokens.
+        """Check that no count is negative, since that would create tokens.
 
-        :returns: whether they can.
+        :returns: whether all counts are at least 0.
         """
         rows = self.rows.values()
         counts = [(row.limit, row.spent, row.charged) for row in rows]
@@ -57,15 +56,15 @@
         return min(min(three) for three in counts) >= 0
 
     def count_free(self) -> int:
-        """Count the tokens that no router may consume yet.
+        """Count the tokens that are not assigned to any router.
 
-        :returns: tokens; negative when the budget was lowered.
+        :returns: tokens; negative if the budget was lowered.
         """
         limits = sum(row.limit for row in self.rows.values())
         return self.prepaid - self.closed - limits
 
     def count_unused(self) -> int:
-        """Count the tokens that are neither consumed nor held, so far known.
+        """Count the tokens not known to be consumed, held or lent.
 
         :returns: tokens, at least 0.
         """
@@ -73,7 +72,7 @@
         return max(0, self.prepaid - self.closed - charged)
 
     def count_spare(self) -> int:
-        """Count the tokens that rows allow beyond what was charged then.
+        """Count the spare tokens of all rows.
 
         :returns: tokens.
         """
--- a/src/dykemast/_internal/models/budgets.py
+++ b/src/dykemast/_internal/models/budgets.py
@@ -1,25 +1,25 @@
-"""Prepaid budgets, their leases, and what routers say about them."""
+"""Prepaid budgets, their leases, and the intents that change them."""
 
 from typing import Final, NamedTuple
 
-#: Most top-up ids that a budget remembers; older repeats are not recognised.
+#: Top-up ids kept per budget; a repeat of an older top-up is not detected.
 MAX_TOPUP_IDS: Final = 1000
 
 
 class LeaseRow(NamedTuple):
-    """Lease of one holder, as kept in a budget shard object.
+    """Lease of one holder, as stored in a budget shard object.
 
     All counts are tokens since the holder's start. ``spent`` is net: tokens
-    lent to peers count as spent, tokens borrowed from peers count against.
+    lent to peers are added, tokens borrowed from peers are subtracted.
 
-    :param holder: incarnation and serial number; never used twice.
+    :param holder: incarnation and serial number; never reused.
     :param instance: platform id of the instance that the holder runs on.
     :param seq: number of the last intent that took effect.
-    :param allotted: net consumption that the holder may reach at the most.
-    :param armed: net consumption that it may reach soon after this write.
-    :param spent: net consumption that it reported.
-    :param rate: its recent demand, in tokens a second.
-    :param seen: shard version that it knew when it made the intent.
+    :param allotted: upper bound of the holder's net consumption.
+    :param armed: part of ``allotted`` that is usable right after this write.
+    :param spent: net consumption reported by the holder.
+    :param rate: its recent demand, in tokens per second.
+    :param seen: shard version known to the holder when it made the intent.
     """
 
     holder: str
@@ -35,10 +35,10 @@
 class Budget(NamedTuple):
     """One prepaid budget.
 
-    :param paid: tokens paid for, over its life.
+    :param paid: tokens paid for since the budget was created.
     :param closed: tokens charged for leases that have ended.
     :param in_doubt: part of ``closed`` charged without a holder's report.
-    :param topups: ids of the top-ups that were added, oldest first.
+    :param topups: ids of the applied top-ups, oldest first.
     :param rows: open leases by holder.
     """
 
@@ -50,23 +50,23 @@
 
 
 class LeaseIntent(NamedTuple):
-    """What a holder wants its lease to become.
+    """Request of a holder to open, change or close its lease.
 
     :param budget: name of the budget.
     :param holder: see :class:`LeaseRow`.
     :param instance: see :class:`LeaseRow`.
-    :param seq: grows by one with each new intent of a holder.
+    :param seq: increases by one with each intent of a holder.
     :param min_allotted: lowest allotment that the holder accepts, as far as
         its present allotment reaches.
-    :param armed: level that it wants to arm.
+    :param armed: armed level that it requests.
     :param spent: net consumption until now.
-    :param committed: ``spent`` and open holds together.
-    :param need: tokens that waiting requests want beyond ``committed``.
-    :param mean_hold_tokens: size of its usual hold, in tokens.
-    :param rate: its recent demand, in tokens a second.
+    :param committed: ``spent`` plus open holds.
+    :param need: tokens that waiting requests need beyond ``committed``.
+    :param mean_hold_tokens: running mean of its hold sizes.
+    :param rate: its recent demand, in tokens per second.
     :param horizon_s: seconds of demand that a lease should cover.
     :param seen: newest shard version known to the holder.
-    :param closing: whether the holder is done; ``spent`` is then final.
+    :param closing: whether the lease ends; ``spent`` is then final.
     """
 
     budget: str
@@ -86,11 +86,11 @@
 
 
 class ReclaimIntent(NamedTuple):
-    """Take back the lease of a holder that is shown to be dead.
+    """Request to reclaim the lease of a holder that is confirmed dead.
 
     :param budget: name of the budget.
-    :param holder: whose lease.
-    :param seq: the row's number on which the evidence rests.
+    :param holder: holder of the lease.
+    :param seq: ``seq`` of the row that was checked; another one is kept.
     :param full: charge the whole allotment, not only the armed part.
     """
 
@@ -101,11 +101,11 @@
 
 
 class TopupIntent(NamedTuple):
-    """Add paid tokens, once for each id.
+    """Request to add paid tokens, applied once per id.
 
     :param budget: name of the budget.
     :param topup: id given by the operator.
-    :param tokens: how many to add.
+    :param tokens: tokens to add.
     """
 
     budget: str
@@ -114,19 +114,18 @@
 
 
 class BudgetAck(NamedTuple):
-    """What an intent led to.
+    """Answer to an intent.
 
     :param budget: name of the budget.
-    :param holder: whose row, empty for a top-up.
+    :param holder: holder of the row; empty for a top-up.
     :param seq: number of the row's last intent; 0 when the row is gone.
     :param allotted: allotment in force, in tokens.
     :param armed: armed level in force, in tokens.
-    :param target: allotment that the sizing rule wants for the holder.
+    :param target: allotment that the sizing rule computes for the holder.
     :param free: tokens of the budget in no lease.
     :param paid: tokens paid for.
-    :param unspent: tokens not reported as spent by anybody.
-    :param version: shard version that stood until the write; 0 when there
-        was none.
+    :param unspent: tokens that no holder reported as spent.
+    :param version: shard version before the write; 0 if there was none.
     """
 
     budget: str
@@ -141,5 +140,5 @@
     version: int = 0
 
 
-#: Everything that can be asked of a budget shard.
+#: All requests that a budget shard accepts.
 BudgetIntent = LeaseIntent | ReclaimIntent | TopupIntent
--- a/src/dykemast/_internal/models/journal.py
+++ b/src/dykemast/_internal/models/journal.py
@@ -1,27 +1,27 @@
-"""Entries of the journal: claims before a call, bills after it."""
+"""Journal entries: claims before a call, bills after it."""
 
 import enum
 from typing import NamedTuple
 
 
 class EntryKind(enum.StrEnum):
-    """What an entry records."""
+    """Kind of a journal entry."""
 
     claimed = 'claimed'
     finished = 'finished'
 
 
 class Entry(NamedTuple):
-    """One fact about one request.
+    """Claim or outcome of one request.
 
     :param key: workspace and idempotency key.
     :param kind: claim or outcome.
     :param run: id of the attempt: incarnation and request id.
-    :param budget: budget that pays, empty for a claim.
+    :param budget: budget that is charged; empty for a claim.
     :param tokens: tokens billed.
     :param outcome: how the attempt ended, e.g. ``whole`` or ``cut``.
-    :param at: seconds since 1970 at the router.
-    :param answer: recorded answer to replay, empty when none is kept.
+    :param at: time at the router, in seconds since 1970.
+    :param answer: recorded answer to replay; empty if none is kept.
     """
 
     key: str
@@ -35,21 +35,21 @@
 
 
 class Verdict(enum.StrEnum):
-    """What became of an entry that was to be appended."""
+    """Result of appending an entry."""
 
-    #: The entry stands, whether written now or by an earlier copy.
+    #: The entry is in the journal, written now or by an earlier retry.
     ours = 'ours'
-    #: Another attempt had claimed the key before.
+    #: Another attempt has claimed the key before.
     claimed = 'claimed'
-    #: Another attempt had finished under the key before.
+    #: Another attempt has finished under the key before.
     finished = 'finished'
 
 
 class JournalAck(NamedTuple):
     """Answer to an append.
 
-    :param verdict: what became of it.
-    :param entry: the entry that stands for the key.
+    :param verdict: result of the append.
+    :param entry: the entry that the journal has for the key.
     """
 
     verdict: Verdict
@@ -57,10 +57,10 @@
 
 
 class Segment(NamedTuple):
-    """One object in the run of objects that make up a journal shard.
+    """One of the consecutive objects that make up a journal shard.
 
-    :param entries: in order of appending.
-    :param sealed: whether the next segment has taken over.
+    :param entries: entries in order of appending.
+    :param sealed: whether new entries go to the next segment.
     """
 
     entries: list[Entry]
--- a/src/dykemast/_internal/operations/allowance.py
+++ b/src/dykemast/_internal/operations/allowance.py
@@ -1,48 +1,48 @@
 """One router's part of a workspace's budget.
 
-The store keeps a row for each incarnation with the tokens that it may have
-consumed at the most. The sum of all rows never exceeds the budget, so that
-no fault can overspend it: a router consumes only below the lowest limit of
-all rows of its own that the store may hold.
+The store keeps one row per incarnation with an upper bound of the tokens that
+it consumes. The sum of all rows never exceeds the budget, so no fault can
+overspend it: a router consumes only up to the lowest limit of all versions of
+its row that the store may have.
 """
 
 
 class Allowance:
-    """What this router may consume of one budget.
+    """Tokens that this router may consume of one budget.
 
-    Figures are tokens; all but ``held`` only grow.
+    Counts are in tokens; all but ``held`` only increase.
     """
 
     def __init__(self) -> None:
-        """Start with nothing."""
+        """Create an allowance of 0 tokens."""
         self.spent = 0
         self.held = 0
         self.lent = 0
         self.borrowed = 0
-        #: Lowest limit of the rows that the store may hold.
+        #: Lowest limit of the row versions that the store may have.
         self._limit = 0
 
     def count_charged(self) -> int:
         """Count the tokens that this router's row has to cover.
 
-        :returns: tokens; negative when more was borrowed than used.
+        :returns: tokens; negative if more was borrowed than used.
         """
         return self.spent + self.held + self.lent - self.borrowed
 
     def count_available(self) -> int:
-        """Count the tokens that may be held now.
+        """Count the tokens that a new hold may take.
 
         :returns: tokens.
         """
         return self._limit - self.count_charged()
 
     def take_hold(self, tokens: int) -> bool:
-        """Set tokens aside for a request.
+        """Reserve tokens for a request.
 
-        A request that ends moves them from ``held`` to ``spent``.
+        When the request ends, they move from ``held`` to ``spent``.
 
-        :param tokens: what it may consume at the most.
-        :returns: whether there were as many.
+        :param tokens: upper bound of its consumption.
+        :returns: whether enough tokens were available.
         """
         if self.count_available() < tokens:
             return False
@@ -50,29 +50,29 @@
         return True
 
     def lend(self, tokens: int) -> int:
-        """Give spare tokens to another router, for good.
+        """Transfer available tokens to another router.
 
-        :param tokens: how many it wants.
-        :returns: how many it gets.
+        :param tokens: tokens requested.
+        :returns: tokens transferred.
         """
         given = max(0, min(tokens, self.count_available()))
         self.lent += given
         return given
 
     def lower_limit(self, limit: int) -> None:
-        """Obey a limit that the store may hold from now on.
+        """Apply a limit that the store may have from now on.
 
-        :param limit: of a row that is about to be written, or that a
-            lowered budget asks for.
+        :param limit: limit of a row that is about to be written, or that a
+            lowered budget requires.
         """
         self._limit = min(self._limit, limit)
 
     def confirm_limit(self, limit: int) -> None:
-        """Obey only the limit that the store has confirmed.
+        """Apply the limit that the store has confirmed.
 
-        A write with a lost answer cannot take effect after this one: its
-        condition does not hold any more.
+        An earlier write whose answer was lost cannot take effect any more,
+        since the revision that it expects has been replaced.
 
-        :param limit: of the row in the store.
+        :param limit: limit of the row in the store.
         """
         self._limit = limit
--- a/src/dykemast/_internal/operations/allowance_terms.py
+++ b/src/dykemast/_internal/operations/allowance_terms.py
@@ -1,13 +1,13 @@
-"""What a router's part of a budget depends on."""
+"""Inputs for the row of one router in a budget."""
 
 from typing import NamedTuple
 
 
 class Identity(NamedTuple):
-    """Who writes a row.
+    """Router process that owns a row.
 
     :param instance: name of the instance.
-    :param incarnation: fresh for each process start.
+    :param incarnation: id that is new at each process start.
     """
 
     instance: str
@@ -15,11 +15,11 @@
 
 
 class Terms(NamedTuple):
-    """What bounds a row, as the configuration and the fleet are now.
+    """Bounds of a row, from the current configuration and fleet.
 
     :param version: version of the configuration.
     :param prepaid: tokens paid for.
-    :param routers: routers that share the budget.
+    :param routers: number of routers that share the budget.
     """
 
     version: int
@@ -28,11 +28,11 @@
 
 
 class Want(NamedTuple):
-    """What a row should allow beyond what is consumed and held.
+    """Tokens that a row should allow beyond those consumed and held.
 
     :param pending: tokens that requests are waiting for.
-    :param demand: tokens a second that requests asked for lately.
-    :param spare: whether to keep any tokens spare.
+    :param demand: recent demand, in tokens per second.
+    :param spare: whether to keep spare tokens.
     """
 
     pending: int = 0
@@ -41,7 +41,7 @@
 
 
 class Usage(NamedTuple):
-    """What a router has used of a budget when it writes its row.
+    """Tokens that a router has used of a budget when it writes its row.
 
     :param spent: tokens known to be consumed.
     :param charged: tokens consumed, held or lent, less those borrowed.
--- a/src/dykemast/_internal/operations/budget_counts.py
+++ b/src/dykemast/_internal/operations/budget_counts.py
@@ -14,7 +14,7 @@
 
 
 def count_unspent(budget: Budget) -> int:
-    """Count the tokens that nobody has reported as spent.
+    """Count the tokens that no holder has reported as spent.
 
     :param budget: the budget.
     :returns: tokens.
@@ -24,20 +24,20 @@
 
 
 def is_within_paid(budget: Budget) -> bool:
-    """Check the invariant that keeps a budget from being overspent.
+    """Check the invariant that prevents overspending a budget.
 
-    :param budget: any state.
-    :returns: whether closed and leased tokens fit into the paid ones.
+    :param budget: the budget.
+    :returns: whether closed plus leased tokens are at most the paid ones.
     """
     return count_free(budget) >= 0
 
 
-def answer_holder(budget: Budget, holder: str, target: int = 0) -> BudgetAck:
-    """Say how a budget stands for one holder.
+def build_ack(budget: Budget, holder: str, target: int = 0) -> BudgetAck:
+    """Build the answer to one holder from the state of a budget.
 
     :param budget: the budget.
-    :param holder: whose row is meant; empty for nobody's.
-    :param target: allotment that the sizing rule wants for the holder.
+    :param holder: holder of the row; empty for a top-up.
+    :param target: allotment that the sizing rule computes for the holder.
     :returns: the answer, without the budget's name.
     """
     row = budget.rows.get(holder)
--- a/src/dykemast/_internal/operations/budget_shard.py
+++ b/src/dykemast/_internal/operations/budget_shard.py
@@ -1,9 +1,8 @@
-"""Rules by which a budget changes when an intent reaches it.
+"""Application of intents to a budget.
 
-The functions are pure, and applying an intent twice is the same as once, so
-that a write whose answer was lost is simply made again. The invariant that
-carries "no overspend" is checked by :func:`is_within_paid`:
-``closed + sum(allotted) <= paid``.
+The functions are pure and idempotent, so a write whose answer was lost is
+retried. The invariant that prevents overspending is checked by
+:func:`is_within_paid`: ``closed + sum(allotted) <= paid``.
 """
 
 from typing import NamedTuple
@@ -19,18 +18,18 @@
     TopupIntent,
 )
 from dykemast._internal.operations.budget_counts import (
-    answer_holder,
+    build_ack,
 )
 from dykemast._internal.operations.lease_grant import (
-    find_target,
+    compute_target,
     grant_lease,
 )
 
 
-class Applied(NamedTuple):
+class AppliedIntent(NamedTuple):
     """A budget after an intent, and the answer to it.
 
-    :param budget: the new state; the same object when nothing changed.
+    :param budget: the new state; the same object if nothing changed.
     :param ack: the answer.
     """
 
@@ -38,33 +37,33 @@
     ack: BudgetAck
 
 
-def apply_intent(budget: Budget, intent: BudgetIntent) -> Applied:
+def apply_intent(budget: Budget, intent: BudgetIntent) -> AppliedIntent:
     """Apply one intent.
 
     :param budget: the state before.
-    :param intent: what is asked.
+    :param intent: the intent.
     :returns: the state after, and the answer.
     """
     if isinstance(intent, TopupIntent):
         changed = _add_topup(budget, intent)
-        return Applied(changed, answer_holder(changed, ''))
+        return AppliedIntent(changed, build_ack(changed, ''))
     if isinstance(intent, ReclaimIntent):
         changed = _reclaim(budget, intent)
-        return Applied(changed, answer_holder(changed, intent.holder))
+        return AppliedIntent(changed, build_ack(changed, intent.holder))
     row = budget.rows.get(intent.holder)
     if _is_stale(row, intent):
-        return Applied(budget, answer_holder(budget, intent.holder))
+        return AppliedIntent(budget, build_ack(budget, intent.holder))
     if intent.closing:
         changed = _close(budget, intent.holder, intent.spent)
-        return Applied(changed, answer_holder(changed, intent.holder))
+        return AppliedIntent(changed, build_ack(changed, intent.holder))
     granted = grant_lease(budget, intent)
-    target = find_target(granted, intent)
-    return Applied(granted, answer_holder(granted, intent.holder, target))
+    target = compute_target(granted, intent)
+    return AppliedIntent(granted, build_ack(granted, intent.holder, target))
 
 
 def _is_stale(row: LeaseRow | None, intent: LeaseIntent) -> bool:
-    # A row that is gone was closed: only a first intent may open one. Were a
-    # late copy of a later intent to open it again, a closed lease would live.
+    # Only the first intent of a holder opens a row. A missing row was closed,
+    # and a delayed copy of a later intent must not open it again.
     if row is None:
         return intent.seq > 1
     return row.seq >= intent.seq
--- a/src/dykemast/_internal/operations/confirmed_lease.py
+++ b/src/dykemast/_internal/operations/confirmed_lease.py
@@ -1,7 +1,7 @@
-"""A lease as the platform last confirmed it, and what is not confirmed yet.
+"""A lease as last confirmed by the platform, and its unconfirmed intents.
 
-An unacknowledged intent may or may not have taken effect, so until an
-answer settles it the holder obeys the lower of both worlds.
+An unacknowledged intent may or may not have taken effect. Until an answer
+arrives, the holder uses the lower limit of both cases.
 """
 
 import math
@@ -10,11 +10,11 @@
 from dykemast._internal.models.budgets import BudgetAck, LeaseIntent
 from dykemast._internal.operations.usage import Usage
 
-#: A surplus below this share of what should be held is not given back.
+#: Share of the target allotment below which a surplus is not returned.
 RETURN_SLACK: Final = 0.1
-#: Seconds without an answer after which nothing partial is sent any more.
-SILENCE: Final = 4.0
-#: Seconds beyond the list's lag within which a death is noticed.
+#: Time without an answer after which only full intents are sent.
+SILENCE_S: Final = 4.0
+#: Time beyond the lag of the instance list in which a death is detected.
 DEATH_DETECTION_S: Final = 10.0
 
 
@@ -31,13 +31,13 @@
 
 
 class ConfirmedLease:
-    """Lease as last acknowledged, and intents that are not.
+    """Last acknowledged state of a lease, and its unacknowledged intents.
 
     :param terms: settings of the lease.
     """
 
     def __init__(self, terms: LeaseTerms) -> None:
-        """Start with nothing leased."""
+        """Create a lease of 0 tokens."""
         self.terms = terms
         self.seq = 0
         self.closed = False
@@ -47,8 +47,8 @@
         self._unlock_at = -math.inf
         self._first_unanswered = math.inf
 
-    def find_limit(self, now: float) -> int:
-        """Find the net consumption that may be reached now.
+    def compute_limit(self, now: float) -> int:
+        """Compute the upper bound of the net consumption.
 
         :param now: seconds.
         :returns: tokens.
@@ -61,10 +61,10 @@
         kept = [plan.min_allotted for plan in self._pending]
         return min(self.ack.allotted, *kept) if kept else self.ack.allotted
 
-    def choose_keep(self, usage: Usage) -> int:
-        """Choose the allotment to insist on: less when too much is held.
+    def choose_min_allotted(self, usage: Usage) -> int:
+        """Choose the lowest allotment to accept: less if there is a surplus.
 
-        :param usage: what is in use.
+        :param usage: current consumption.
         :returns: tokens.
         """
         if self.ack is None:
@@ -75,16 +75,17 @@
             return target
         return self.ack.allotted
 
-    def note_intent(self, plan: LeaseIntent, now: float) -> LeaseIntent:
-        """Obey an intent from the moment it is made.
+    def record_intent(self, plan: LeaseIntent, now: float) -> LeaseIntent:
+        """Apply the limits of a new intent and record it as pending.
 
-        After some silence nothing partial is sent any more: a late write
-        must not claim that less is in doubt than the holder may by then be
-        using, and each partial intent puts that moment off.
+        Without an answer for :data:`SILENCE_S` seconds, the intent claims the
+        full allotment: a delayed write must not claim a lower armed level
+        than the holder may use by then, and each partial intent postpones
+        the time at which the whole allotment is usable.
 
         :param plan: the intent.
         :param now: seconds.
-        :returns: the intent as it is to be sent.
+        :returns: the intent to send.
         """
         if not self._pending:
             self._first_unanswered = now
@@ -94,7 +95,7 @@
             plan = plan._replace(min_allotted=kept, armed=kept)
         else:
             if self.ack and plan.min_allotted < self.ack.allotted:
-                # What is given back must not stay armed.
+                # Returned tokens must not stay armed.
                 plan = plan._replace(armed=min(plan.armed, plan.min_allotted))
             self._unlock_at = now + self.terms.arming_delay_s
         self.seq = plan.seq
@@ -103,7 +104,7 @@
         return plan
 
     def apply_ack(self, ack: BudgetAck, now: float) -> None:
-        """Settle all intents up to an answer's number.
+        """Resolve all intents up to the sequence number of an answer.
 
         :param ack: answer to an intent of this holder.
         :param now: seconds.
@@ -113,11 +114,11 @@
         self.ack = ack
         self._pending = [plan for plan in self._pending if plan.seq > ack.seq]
         if self._pending:
-            # What is still open is newer than what was just answered.
+            # The remaining intents are newer than the acknowledged one.
             self._first_unanswered = now
 
     def _silent_from(self) -> float:
-        return self._first_unanswered + SILENCE
+        return self._first_unanswered + SILENCE_S
 
     def _list_kept(self) -> list[int]:
         return [plan.min_allotted for plan in self._pending]
--- a/src/dykemast/_internal/operations/demand.py
+++ b/src/dykemast/_internal/operations/demand.py
@@ -1,34 +1,34 @@
-"""How much was asked for lately."""
+"""Recent demand as a decaying average."""
 
 import math
 from typing import Final
 
-#: Seconds over which demand is averaged: some requests of a workspace at
-#: one router, which come about once a second and differ in size.
-DEMAND_WINDOW: Final = 8.0
+#: Averaging window: long enough for several requests of a workspace at one
+#: router, which arrive about once a second and differ in size.
+DEMAND_WINDOW_S: Final = 8.0
 
-#: Part of the window for which the first requests are taken to be all that
-#: came: one large request alone is not yet a rate.
+#: Part of the window over which the first requests are averaged at least: a
+#: single large request is not a rate.
 MIN_KNOWN: Final = 0.5
 
 
 class Demand:
-    """Decaying sum of what was asked for.
+    """Exponentially decaying sum of requested amounts.
 
-    :param window: seconds over which it is averaged.
+    :param window: averaging window in seconds.
     """
 
-    def __init__(self, window: float = DEMAND_WINDOW) -> None:
-        """Start with nothing."""
+    def __init__(self, window: float = DEMAND_WINDOW_S) -> None:
+        """Create an empty sum."""
         self._window = window
         self._total = float()
         self._at = float()
         self._began: float | None = None
 
     def record(self, amount: float, now: float) -> None:
-        """Count a request.
+        """Record a request.
 
-        :param amount: what it asks for.
+        :param amount: requested amount.
         :param now: seconds.
         """
         if self._began is None:
@@ -37,16 +37,16 @@
         self._at = now
 
     def compute_rate(self, now: float) -> float:
-        """Measure the demand of the last seconds.
+        """Compute the recent demand since the first request.
 
         :param now: seconds.
-        :returns: amount a second.
+        :returns: amount per second.
         """
         if self._began is None:
             return float()
         known = max(MIN_KNOWN * self._window, now - self._began)
-        # An average over the whole window would take what came before the
-        # first request for nothing: a third of the true rate after 3 of 8 s.
+        # An average over the whole window would count the time before the
+        # first request as idle: a third of the true rate after 3 of 8 s.
         part = 1 - math.exp(-known / self._window)
         return self._decay(now) / self._window / part
 
@@ -57,7 +57,7 @@
         requests would be a multiple of the actual demand.
 
         :param now: seconds.
-                :returns: amount a second.
+        :returns: amount per second.
         """
         return self._decay(now) / self._window
 
--- a/src/dykemast/_internal/operations/group_commit.py
+++ b/src/dykemast/_internal/operations/group_commit.py
@@ -1,9 +1,8 @@
-"""Group commit: many intents, one conditional update.
+"""Group commit: one conditional update for many intents.
 
-Whoever keeps an object gathers intents while a write is on its way, merges
-them with a pure function and writes once. A conflict or a lost answer leads
-to a fresh read and a new merge; that is safe because merging an intent twice
-is the same as once.
+The owner of an object queues intents while a write is in progress, merges
+them with a pure function and writes once. After a conflict or a lost answer
+it reads and merges again, which is safe because merging is idempotent.
 """
 
 import asyncio
@@ -18,22 +17,21 @@
 
 _log = logbook.Logger('commit')
 
-#: Intents in one write at the most.
-MAX_BATCH: Final = 256
-#: Writes tried for one batch at the most.
-MAX_TRIES: Final = 6
-#: Seconds after which a waiting intent is no longer written.
-INTENT_LIFETIME: Final = 5.0
-#: Seconds before a write is tried again.
-RETRY_DELAY: Final = 0.02
+MAX_BATCH_INTENTS: Final = 256
+#: Write attempts per batch.
+MAX_ATTEMPTS: Final = 6
+#: Time after which a queued intent is dropped.
+INTENT_LIFETIME_S: Final = 5.0
+#: Increase of the delay with each retry of a write.
+RETRY_DELAY_S: Final = 0.02
 
 
 class Merge(NamedTuple):
     """A batch merged with the state of an object.
 
-    :param dirty: whether there is anything to write.
-    :param acks: an answer for each intent.
-    :param save: writes the merged state; raises when that failed.
+    :param dirty: whether the merged state has to be written.
+    :param acks: answer to each intent.
+    :param save: writes the merged state; raises if that fails.
     """
 
     dirty: bool
@@ -42,10 +40,10 @@
 
 
 class LedgerCallbacks(NamedTuple):
-    """How the objects of one kind are read and merged.
+    """Functions that read and merge the objects of one kind.
 
     :param load: reads the newest state; called again after a failure.
-    :param merge: merges a batch with that state, without input or output.
+    :param merge: merges a batch with that state, without I/O.
     """
 
     load: Callable[[], Awaitable[None]]
@@ -58,43 +56,45 @@
     deadline: float
 
     def answer(self, ack: Any) -> None:
-        """Tell that it is written, unless nobody waits any more."""
+        """Set the answer, unless the sender has stopped waiting."""
         if not self.done.done():
             self.done.set_result(ack)
 
     def fail(self, error: PlatformError) -> None:
-        """Tell that it is not known to be written."""
+        """Set the error of an intent that was not confirmed as written."""
         if not self.done.done():
             self.done.set_exception(error)
 
 
 class GroupCommit:
-    """Queue of intents before one object.
+    """Queue of intents for one object.
 
     :param name: name of the object, for logs.
-    :param ledger: how to read and merge it.
+    :param ledger: functions that read and merge it.
     :param pause: seconds between two writes, which bounds their rate.
     """
 
     def __init__(
         self, name: str, ledger: LedgerCallbacks, pause: float
     ) -> None:
-        """Start with an empty queue and an unknown state."""
+        """Create an empty queue; the state is read before the first write."""
         self._name = name
         self._ledger = ledger
         self._rate_limiter = RateLimiter(pause)
-        self._queue: asyncio.Queue[_Waiting] = asyncio.Queue(MAX_BATCH * 4)
+        self._queue: asyncio.Queue[_Waiting] = asyncio.Queue(
+            MAX_BATCH_INTENTS * 4
+        )
         self._loaded = False
 
     async def submit(self, intents: list[Any]) -> list[Any]:
-        """Have intents written.
+        """Queue intents and wait until they are written.
 
-        :param intents: what to merge into the object.
+        :param intents: intents to merge into the object.
         :returns: the answer to each, once it is durable.
-        :raises PlatformError: when that could not be reached in time.
+        :raises PlatformError: if an intent was not written in time.
         """
         loop = asyncio.get_running_loop()
-        deadline = read_clock() + INTENT_LIFETIME
+        deadline = read_clock() + INTENT_LIFETIME_S
         waits = []
         for intent in intents:
             waiting = _Waiting(intent, loop.create_future(), deadline)
@@ -106,16 +106,16 @@
         """Write batches until cancelled."""
         while True:
             batch = [await self._queue.get()]
-            while not self._queue.empty() and len(batch) < MAX_BATCH:
+            while not self._queue.empty() and len(batch) < MAX_BATCH_INTENTS:
                 batch.append(self._queue.get_nowait())
-            await self._write_batch(_drop_old(batch))
+            await self._write_batch(_drop_expired(batch))
             await asyncio.sleep(self._rate_limiter.record_write())
 
     def _offer(self, waiting: _Waiting) -> None:
         try:
             self._queue.put_nowait(waiting)
         except asyncio.QueueFull:
-            full = PlatformError(f'{self._name}: too many intents wait.')
+            full = PlatformError(f'{self._name}: queue of intents is full')
             waiting.fail(full)
 
     async def _write_batch(self, batch: list[_Waiting]) -> None:
@@ -124,8 +124,8 @@
         except PlatformError as error:
             failure = error
         except Exception as error:
-            # Who waits for an answer would wait for ever, and the batches
-            # after this one need not meet the same.
+            # Without an answer the senders would wait forever, and later
+            # batches may not raise the same error.
             self._loaded = False
             failure = PlatformError(f'{type(error).__name__}: {error}')
         else:
@@ -137,14 +137,16 @@
             failed.fail(failure)
 
     async def _try_writes(self, batch: list[_Waiting]) -> list[Any]:
-        for attempt in range(MAX_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             try:
                 return await self._write_once(batch)
             except PlatformError as error:
                 self._loaded = False
-                _log.debug('commit: {} again: {}', self._name, error)
-                await asyncio.sleep(RETRY_DELAY * attempt)
-        raise PlatformError(f'{self._name}: gave up after {MAX_TRIES} tries.')
+                _log.debug('commit: retrying {}: {}', self._name, error)
+                await asyncio.sleep(RETRY_DELAY_S * attempt)
+        raise PlatformError(
+            f'{self._name}: write failed after {MAX_ATTEMPTS} attempts'
+        )
 
     async def _write_once(self, batch: list[_Waiting]) -> list[Any]:
         if not self._loaded:
@@ -157,10 +159,10 @@
 async def write_once(ledger: LedgerCallbacks, intents: list[Any]) -> list[Any]:
     """Merge intents with the state as read, and write it.
 
-    :param ledger: how to merge and save.
-    :param intents: what to merge.
+    :param ledger: functions that read and merge the object.
+    :param intents: intents to merge.
     :returns: the answer to each.
-    :raises PlatformError: when the write failed or its answer was lost.
+    :raises PlatformError: if the write failed or its answer was lost.
     """
     merge = ledger.merge(intents)
     if merge.dirty:
@@ -168,11 +170,11 @@
     return merge.acks
 
 
-def _drop_old(batch: list[_Waiting]) -> list[_Waiting]:
-    # After a freeze an intent may be minutes old; its sender has long acted
-    # on its failure, so it must not be written any more.
+def _drop_expired(batch: list[_Waiting]) -> list[_Waiting]:
+    # After the process was suspended, an intent may be minutes old. Its
+    # sender has already treated it as failed, so it must not be written.
     now = read_clock()
     for waiting in batch:
         if waiting.deadline < now:
-            waiting.fail(PlatformError('commit: intent is too old.'))
-    return [young for young in batch if young.deadline >= now]
+            waiting.fail(PlatformError('commit: intent has expired'))
+    return [valid for valid in batch if valid.deadline >= now]
--- a/src/dykemast/_internal/operations/holder.py
+++ b/src/dykemast/_internal/operations/holder.py
@@ -1,11 +1,11 @@
-"""Lease of one budget as its holder sees it: what may be consumed now.
+"""Lease of one budget at its holder: the tokens that it may consume now.
 
-Three bounds nest: what is *armed* may be used at once; the whole
-*allotment* only after the platform has been silent for the arming delay.
-If the holder dies soon after a write, only the armed part is in doubt.
+The *armed* part is usable at once; the whole *allotment* only after no write
+was acknowledged for the arming delay. If the holder dies soon after a write,
+only the armed part was possibly consumed.
 
-An unacknowledged intent may or may not have taken effect, so until an
-answer settles it the holder obeys the lower of both worlds.
+An unacknowledged intent may or may not have taken effect. Until an answer
+arrives, the holder uses the lower limit of both cases.
 """
 
 import math
@@ -13,40 +13,40 @@
 
 from dykemast._internal.models.budgets import LeaseIntent
 from dykemast._internal.operations.confirmed_lease import (
-    SILENCE,
+    SILENCE_S,
     ConfirmedLease,
     LeaseTerms,
 )
 from dykemast._internal.operations.usage import Usage
 
-#: Usual holds that stay armed ahead of what is in use.
+#: Holds of mean size that stay armed beyond the tokens in use.
 ARMED_HOLDS: Final = 4
-#: Demand that stays armed ahead, over what the arming delay should need.
+#: Factor on the demand expected during the arming delay.
 ARMED_SLACK: Final = 1.2
-#: Seconds between two renewals, by which an armed level may be old.
-RENEW_INTERVAL: Final = 2.0
+#: Interval between renewals, by which an armed level may be outdated.
+RENEW_INTERVAL_S: Final = 2.0
 
 
-def find_margin(usage: Usage, terms: LeaseTerms, now: float) -> int:
-    """Find how far ahead of the usage a lease is armed.
+def compute_margin(usage: Usage, terms: LeaseTerms, now: float) -> int:
+    """Compute how many tokens are armed beyond the tokens in use.
 
-    :param usage: what is consumed.
+    :param usage: current consumption.
     :param terms: settings of the lease.
     :param now: seconds.
     :returns: tokens.
     """
-    delay = terms.arming_delay_s + SILENCE + RENEW_INTERVAL
-    demand = usage.find_rate(now) * delay * ARMED_SLACK
-    # Bursts come again: what was held at once is kept ready for a while.
-    burst = max(ARMED_HOLDS * usage.mean_hold_tokens, usage.find_peak(now))
+    delay = terms.arming_delay_s + SILENCE_S + RENEW_INTERVAL_S
+    demand = usage.compute_rate(now) * delay * ARMED_SLACK
+    # Bursts recur, so the recent peak of held tokens stays armed.
+    burst = max(ARMED_HOLDS * usage.mean_hold_tokens, usage.compute_peak(now))
     return math.ceil(demand + burst)
 
 
 class HolderId(NamedTuple):
-    """Who holds a lease.
+    """Identity of the holder of a lease.
 
     :param budget: name of the budget.
-    :param holder: incarnation and serial number; never used twice.
+    :param holder: incarnation and serial number; never reused.
     :param instance: platform id of the instance.
     """
 
@@ -58,31 +58,33 @@
 class Holder:
     """State of one lease at its holder.
 
-    :param owner: who holds it.
-    :param terms: its settings.
-    :param now: seconds on a clock that never goes back.
+    :param owner: identity of the holder.
+    :param terms: settings of the lease.
+    :param now: seconds on the monotonic clock.
     """
 
     def __init__(self, owner: HolderId, terms: LeaseTerms, now: float) -> None:
-        """Start with nothing leased."""
+        """Create a holder without leased tokens."""
         self.owner = owner
         self.usage = Usage(now)
         self.lease = ConfirmedLease(terms)
 
     def count_available(self, now: float) -> int:
-        """Count the tokens that a hold may take now.
+        """Count the tokens that a new hold may take.
 
         :param now: seconds.
         :returns: tokens, at least 0.
         """
-        return max(0, self.lease.find_limit(now) - self.usage.count_committed())
+        return max(
+            0, self.lease.compute_limit(now) - self.usage.count_committed()
+        )
 
     def take_hold(self, tokens: int, now: float) -> bool:
         """Reserve tokens for one request before it is sent.
 
-        :param tokens: upper bound of what the request can consume.
+        :param tokens: upper bound of its consumption.
         :param now: seconds.
-        :returns: whether there was room.
+        :returns: whether enough tokens were available.
         """
         if tokens > self.count_available(now):
             return False
@@ -90,29 +92,29 @@
         return True
 
     def lend(self, tokens: int, now: float) -> int:
-        """Give room away to a peer; it counts as spent here.
+        """Transfer available tokens to a peer; they count as spent here.
 
-        :param tokens: how many the peer wants.
+        :param tokens: tokens requested by the peer.
         :param now: seconds.
-        :returns: how many it gets.
+        :returns: tokens transferred, at most half of those available.
         """
         given = min(tokens, self.count_available(now) // 2)
         self.usage.spent += given
         return given
 
     def borrow(self, tokens: int) -> None:
-        """Take in tokens that a peer has already counted as spent.
+        """Add tokens that a peer has already counted as spent.
 
-        :param tokens: how many.
+        :param tokens: number of tokens.
         """
         self.usage.spent -= tokens
 
     def plan_intent(self, now: float, seen: int) -> LeaseIntent:
-        """Say what the lease should become, and obey it from now on.
+        """Create an intent to change the lease, and apply its limits.
 
         :param now: seconds.
         :param seen: newest shard version known.
-        :returns: the intent to be sent.
+        :returns: the intent to send.
         """
         usage = self.usage
         committed = usage.count_committed()
@@ -121,27 +123,27 @@
             holder=self.owner.holder,
             instance=self.owner.instance,
             seq=self.lease.seq + 1,
-            min_allotted=self.lease.choose_keep(usage),
-            # What waits is about to be used: a renewal must not disarm it.
+            min_allotted=self.lease.choose_min_allotted(usage),
+            # Tokens that requests wait for must stay armed in a renewal.
             armed=committed
             + usage.waiting
-            + find_margin(usage, self.lease.terms, now),
+            + compute_margin(usage, self.lease.terms, now),
             spent=usage.spent,
             committed=committed,
             need=usage.waiting,
             mean_hold_tokens=math.ceil(usage.mean_hold_tokens),
-            rate=usage.find_rate(now),
+            rate=usage.compute_rate(now),
             horizon_s=self.lease.terms.horizon_s,
             seen=seen,
         )
-        return self.lease.note_intent(plan, now)
+        return self.lease.record_intent(plan, now)
 
     def plan_close(self, now: float, seen: int) -> LeaseIntent | None:
-        """Give the whole lease back, if nothing is in use.
+        """Create the intent that closes the lease, if no hold is open.
 
         :param now: seconds.
         :param seen: newest shard version known.
-        :returns: the final intent, or nothing while holds are open.
+        :returns: the final intent; None while holds are open.
         """
         if self.usage.held:
             return None
--- a/src/dykemast/_internal/operations/journal_merge.py
+++ b/src/dykemast/_internal/operations/journal_merge.py
@@ -1,7 +1,7 @@
-"""Which of two attempts under one key stands: the first to be written.
+"""Merge of journal entries: the first one written under a key wins.
 
-Appending is idempotent: a copy of an entry that stands is answered as ours,
-so a write whose answer was lost is simply made again.
+Appending is idempotent: a repeated entry gets the verdict ``ours``, so a
+write whose answer was lost is retried.
 """
 
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class KeyRecord(NamedTuple):
-    """What stands under one key.
+    """Written entries of one key.
 
     :param claim: the first claim, if any.
     :param finish: the first outcome, if any.
@@ -25,11 +25,11 @@
     finish: Entry | None = None
 
 
-class Merged(NamedTuple):
+class MergedBatch(NamedTuple):
     """Result of merging a batch.
 
     :param new_entries: entries that have to be written, in order.
-    :param acks: an answer for each entry of the batch.
+    :param acks: answer to each entry of the batch.
     """
 
     new_entries: list[Entry]
@@ -37,10 +37,10 @@
 
 
 def add_entry(records: dict[str, KeyRecord], entry: Entry) -> None:
-    """Put a written entry into the index.
+    """Add a written entry to the index.
 
     :param records: the index, changed in place.
-    :param entry: what was written.
+    :param entry: the entry.
     """
     record = records.get(entry.key, KeyRecord())
     if entry.kind == EntryKind.claimed:
@@ -50,10 +50,10 @@
 
 
 def prune_records(records: dict[str, KeyRecord], before: float) -> None:
-    """Drop what is older than the retry window from the index.
+    """Drop keys with only entries before the retry window from the index.
 
     :param records: the index, changed in place.
-    :param before: seconds since 1970.
+    :param before: start of the window, in seconds since 1970.
     """
     old = [
         key
@@ -64,21 +64,23 @@
         records.pop(key)
 
 
-def merge_batch(records: dict[str, KeyRecord], batch: list[Entry]) -> Merged:
-    """Decide which entries of a batch stand.
+def merge_batch(
+    records: dict[str, KeyRecord], batch: list[Entry]
+) -> MergedBatch:
+    """Select the entries of a batch to be written.
 
-    :param records: index of what is written; not changed.
+    :param records: index of the written entries; not changed.
     :param batch: entries to append, in order.
-    :returns: what to write, and the answers.
+    :returns: entries to write, and the answers.
     """
     overlay: dict[str, KeyRecord] = {}
-    merged = Merged([], [])
+    merged = MergedBatch([], [])
     for entry in batch:
         overlay.setdefault(entry.key, records.get(entry.key, KeyRecord()))
-        ack = judge_entry(overlay[entry.key], entry)
+        ack = find_precedence(overlay[entry.key], entry)
         if ack is None:
-            # Whether it is new must not be told from its identity: a bill
-            # that is written again is often the very same object.
+            # Object identity does not show whether an entry is new: a bill
+            # that is written again is often the same object.
             ack = JournalAck(Verdict.ours, entry)
             add_entry(overlay, entry)
             merged.new_entries.append(entry)
@@ -86,12 +88,13 @@
     return merged
 
 
-def judge_entry(record: KeyRecord, entry: Entry) -> JournalAck | None:
-    """Decide whether one entry stands.
+def find_precedence(record: KeyRecord, entry: Entry) -> JournalAck | None:
+    """Compare an entry with those written under its key.
 
-    :param record: what stands under its key.
-    :param entry: what is to be appended.
-    :returns: the entry that stands already; nothing when this one may.
+    :param record: written entries of its key.
+    :param entry: entry to append.
+    :returns: answer with the written entry that takes precedence; None if
+        this entry has to be written.
     """
     if record.finish:
         return _compare(record.finish, entry, Verdict.finished)
@@ -103,6 +106,6 @@
 
 
 def _compare(standing: Entry, entry: Entry, otherwise: Verdict) -> JournalAck:
-    # A claim that comes after its own outcome is a late copy.
+    # A claim that arrives after its own outcome is a delayed copy.
     same = standing.run == entry.run
     return JournalAck(Verdict.ours if same else otherwise, standing)
--- a/src/dykemast/_internal/operations/lease_grant.py
+++ b/src/dykemast/_internal/operations/lease_grant.py
@@ -1,15 +1,15 @@
-"""How much a holder gets when it asks for a lease or renews one."""
+"""Allotment of a holder that opens or renews a lease."""
 
 from dykemast._internal.models.budgets import Budget, LeaseIntent, LeaseRow
 from dykemast._internal.operations.budget_counts import count_free
-from dykemast._internal.operations.lease_size import size_target
+from dykemast._internal.operations.lease_size import compute_lease_size
 
 
 def grant_lease(budget: Budget, intent: LeaseIntent) -> Budget:
     """Change a holder's lease as far as the free tokens allow.
 
     :param budget: the state before.
-    :param intent: what the holder wants.
+    :param intent: intent of the holder.
     :returns: the state after.
     """
     row = budget.rows.get(intent.holder)
@@ -37,16 +37,16 @@
     wanted = max(
         kept,
         intent.committed + intent.need,
-        find_target(budget, intent),
+        compute_target(budget, intent),
     )
     return min(wanted, before + count_free(budget))
 
 
-def find_target(budget: Budget, intent: LeaseIntent) -> int:
-    """Find the allotment that the sizing rule wants for a holder.
+def compute_target(budget: Budget, intent: LeaseIntent) -> int:
+    """Compute the allotment of a holder by the sizing rule.
 
     :param budget: the budget.
-    :param intent: the holder's demand.
+    :param intent: intent of the holder, with its demand.
     :returns: net tokens, to compare with an allotment.
     """
     others = [
@@ -54,6 +54,6 @@
     ]
     spent = sum(row.spent for row in others) + intent.spent
     unspent = budget.paid - budget.closed - spent
-    return intent.spent + size_target(
+    return intent.spent + compute_lease_size(
         unspent, intent, [row.rate for row in others]
     )
--- a/src/dykemast/_internal/operations/lease_registry.py
+++ b/src/dykemast/_internal/operations/lease_registry.py
@@ -1,4 +1,4 @@
-"""Leases of one router, by budget, and which of them to renew now."""
+"""Leases of one router by budget, and the intents to send for them."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class Identity(NamedTuple):
-    """Who leases.
+    """Router process that holds the leases.
 
     :param instance: platform id of the instance.
     :param incarnation: random id of the process.
@@ -23,11 +23,11 @@
 class LeaseRegistry:
     """Holders of one router by budget.
 
-    :param identity: who leases.
+    :param identity: the router process.
     """
 
     def __init__(self, identity: Identity) -> None:
-        """Start with no lease."""
+        """Create a registry without leases."""
         self.holders: dict[str, Holder] = {}
         self._identity = identity
         self._serial = 0
@@ -39,12 +39,12 @@
         terms: LeaseTerms,
         now: float,
     ) -> Holder:
-        """Find the holder of a budget, or make one.
+        """Get the holder of a budget, or create one.
 
         :param budget: name of the budget.
-        :param terms: settings for a new one.
+        :param terms: settings of a new lease.
         :param now: seconds.
-        :returns: the holder; never one that is being given back.
+        :returns: the holder; never one whose lease is being closed.
         """
         holder = self.holders.get(budget)
         if holder is None or holder.lease.closed:
@@ -62,12 +62,12 @@
         now: float,
         seen: int,
     ) -> list[LeaseIntent]:
-        """Find what is to be sent for some budgets now.
+        """Create the intents to send to one shard now.
 
-        :param belongs: tells whether a budget is of the shard.
+        :param belongs: whether a budget belongs to the shard.
         :param now: seconds.
         :param seen: newest known version of that shard.
-        :returns: intents, closings that are not answered yet among them.
+        :returns: intents, including unacknowledged closing ones.
         """
         plans = [
             plan for plan in self._closing.values() if belongs(plan.budget)
@@ -78,7 +78,7 @@
         return plans
 
     def apply_ack(self, ack: BudgetAck, now: float) -> None:
-        """Take in the answer to an intent.
+        """Apply the answer to an intent.
 
         :param ack: the answer.
         :param now: seconds.
@@ -89,17 +89,17 @@
         if holder is None or holder.owner.holder != ack.holder:
             return
         if ack.seq == 0:
-            # The row is gone: given back, or taken back as dead.
+            # The row is gone: the lease was closed or reclaimed.
             holder.lease.closed = True
             self.holders.pop(ack.budget)
             return
         holder.lease.apply_ack(ack, now)
 
     def close_all(self, now: float, seen: int) -> None:
-        """Give back all leases that are not in use.
+        """Start to close all leases without open holds.
 
         :param now: seconds.
-        :param seen: newest shard version known; 0 is always right.
+        :param seen: newest shard version known; 0 is always valid.
         """
         for holder in list(self.holders.values()):
             self._start_close(holder, now, seen)
--- a/src/dykemast/_internal/operations/lease_size.py
+++ b/src/dykemast/_internal/operations/lease_size.py
@@ -1,33 +1,34 @@
-"""How large a lease should be.
+"""Size of a lease.
 
-Nearly all of a budget is out on lease, by demand, before a cut comes: what a
-router does not hold when it is cut off it must refuse. Near the end of a
-budget idle leases would strand the last tokens, so there each request asks.
+Nearly all of a budget is leased, by demand, in advance: in a network
+partition a router can only use the tokens that it has. Near the end of a
+budget, tokens in idle leases would be unusable for other routers, so each
+request leases its own.
 """
 
 from typing import Final
 
 from dykemast._internal.models.budgets import LeaseIntent
 
-#: Share of the unspent tokens kept out of leases, for newcomers and bursts.
+#: Share of the unspent tokens kept out of leases, for new holders and bursts.
 RESERVE_SHARE: Final = 0.02
-#: A holder whose share is under this many usual holds leases on demand only.
+#: Holds of mean size below which a holder leases for each request only.
 MIN_HOLDS: Final = 3
-#: Part of the mean demand that a holder without demand of its own counts as.
+#: Share of the mean demand that an idle holder counts as.
 IDLE_WEIGHT: Final = 0.05
 
 
-def size_target(
+def compute_lease_size(
     unspent: int,
     intent: LeaseIntent,
     other_rates: list[float],
 ) -> int:
-    """Find the unspent tokens that a holder should have on lease.
+    """Compute the unspent tokens that a holder should have on lease.
 
-    :param unspent: tokens of the budget that nobody has reported as spent.
-    :param intent: demand, usual hold and horizon of the holder.
-    :param other_rates: demand of the other holders, in tokens a second.
-    :returns: tokens; 0 where the holder should ask for each request.
+    :param unspent: tokens of the budget that no holder reported as spent.
+    :param intent: demand, mean hold and horizon of the holder.
+    :param other_rates: demand of the other holders, in tokens per second.
+    :returns: tokens; 0 if the holder should lease for each request.
     """
     share = _find_share(intent.rate, other_rates)
     portion = max(0, unspent) * (1 - RESERVE_SHARE) * share
--- a/src/dykemast/_internal/operations/ledger_rows.py
+++ b/src/dykemast/_internal/operations/ledger_rows.py
@@ -1,4 +1,4 @@
-"""Rows of a budget: how much each router may consume."""
+"""Rows of a budget: the tokens that each router may consume."""
 
 from dykemast._internal.models.budget_ledger import BudgetLedger, LedgerRow
 from dykemast._internal.operations.allowance_terms import (
@@ -17,13 +17,13 @@
     terms: Terms,
     want: Want,
 ) -> BudgetLedger:
-    """Plan the next state of a budget with a new row of one router.
+    """Compute the next state of a budget with a new row of one router.
 
-    :param ledger: the state that the write will replace; None for none.
+    :param ledger: the state to be replaced; None if there is none.
     :param identity: the router.
-    :param usage: what it used.
-    :param terms: what bounds the row.
-    :param want: what the row should allow beyond its use.
+    :param usage: tokens used by the router.
+    :param terms: bounds of the row.
+    :param want: tokens that the row should allow beyond the used ones.
     :returns: the state to write.
     """
     ledger = close_rows(_adopt_terms(ledger, terms), identity)
@@ -39,11 +39,11 @@
 def close_rows(ledger: BudgetLedger, identity: Identity) -> BudgetLedger:
     """Charge the rows of earlier processes on an instance in full.
 
-    They have ended, since another one runs there; what they consumed beyond
-    what they wrote is not known.
+    They have ended, since another process runs there, and may have consumed
+    more than they wrote.
 
     :param ledger: the budget.
-    :param identity: the process that runs now.
+    :param identity: the running process.
     :returns: the budget without these rows.
     """
     ended = {
@@ -88,7 +88,7 @@
     identity: Identity,
     usage: Usage,
 ) -> int:
-    """Count the tokens that a router's row may have beyond its use."""
+    """Count the tokens that a row may allow beyond the charged ones."""
     stored = ledger.rows.get(identity.incarnation)
     before = stored.limit if stored else 0
     return max(0, ledger.count_free() + before - usage.charged)
@@ -107,6 +107,6 @@
     if ledger is None:
         return BudgetLedger(terms.version, terms.prepaid, {})
     if terms.version < ledger.version:
-        # Another router knows a newer configuration.
+        # Another router has written with a newer configuration.
         return ledger
     return ledger._replace(version=terms.version, prepaid=terms.prepaid)
--- a/src/dykemast/_internal/operations/reclaim.py
+++ b/src/dykemast/_internal/operations/reclaim.py
@@ -1,14 +1,15 @@
-"""When the lease of a lost holder may be taken back, and at what charge.
-
-Silence never suffices. A holder is shown to be dead by the platform's list
-(its instance was there and is gone for longer than the list's lag), or by a
-newer incarnation on the same instance: that one could bind the instance's
-address only after the old process had ended. A frozen process keeps both.
-
-The charge is the whole allotment unless the death falls within the arming
-delay of the holder's last write; then only the armed part is in doubt. The
-last intent was made after the shard version that it names came into being,
-which bounds its age on the keeper's own clock without comparing clocks.
+"""Reclaim of leases whose holder is confirmed dead.
+
+A missing response never suffices. A holder is confirmed dead by the
+platform's list (its instance was listed and has been missing for longer than
+the list's lag), or by a newer incarnation on the same instance, which could
+bind the instance's address only after the old process had ended. A suspended
+process keeps its entry and its address.
+
+The charge is the whole allotment unless the holder died within the arming
+delay after its last write; then only the armed part was possibly consumed.
+The last intent was made after the shard version that it names was written.
+This bounds its age on the owner's clock without comparing clocks.
 """
 
 from collections import deque
@@ -21,15 +22,15 @@
 )
 from dykemast._internal.models.fleet import PeerCard
 
-#: Reads of a shard that a keeper remembers.
-REMEMBERED_READS: Final = 256
+#: Reads that the owner of a shard keeps.
+MAX_LOGGED_READS: Final = 256
 
 
 class ShardRead(NamedTuple):
     """One read of a shard object.
 
-    :param version: what was read.
-    :param started: seconds on the keeper's clock before the read was sent.
+    :param version: version that was read.
+    :param started: seconds on the owner's clock before the read was sent.
     """
 
     version: int
@@ -37,16 +38,16 @@
 
 
 class ReadLog:
-    """Reads of one shard, to bound the age of what it holds."""
+    """Reads of one shard, to bound the age of its content."""
 
     def __init__(self) -> None:
-        """Start with no reads."""
-        self._reads: deque[ShardRead] = deque(maxlen=REMEMBERED_READS)
+        """Create an empty log."""
+        self._reads: deque[ShardRead] = deque(maxlen=MAX_LOGGED_READS)
 
     def record_read(self, version: int, started: float) -> None:
-        """Remember a read; of equal versions the newest.
+        """Record a read; it replaces one of the same version.
 
-        :param version: what was read.
+        :param version: version that was read.
         :param started: seconds before the read was sent.
         """
         if self._reads and self._reads[-1].version == version:
@@ -54,21 +55,21 @@
         self._reads.append(ShardRead(version, started))
 
     def find_oldest(self, seen: int) -> float | None:
-        """Find a time before which a shard version did not exist.
+        """Find the latest time at which a shard version did not exist yet.
 
         :param seen: the version.
-        :returns: seconds, or nothing when it is older than the log.
+        :returns: seconds; None if the version is older than the log.
         """
         older = [read.started for read in self._reads if read.version < seen]
         return max(older, default=None)
 
 
 class KnownProcesses(NamedTuple):
-    """What is known about processes.
+    """Known instances and incarnations.
 
-    :param gone: ids of instances shown to be gone.
+    :param gone: ids of instances confirmed to be gone.
     :param incarnations: newest incarnation by instance id.
-    :param known_at: seconds at which this was known at the latest.
+    :param known_at: time of this state, in seconds.
     """
 
     gone: frozenset[str]
@@ -83,7 +84,7 @@
     """List the instances whose incarnation has to be looked up.
 
     :param budgets: a shard's budgets by name.
-    :param cards: routers that were heard of lately; what they hold is theirs.
+    :param cards: cards of the live peers, whose leases are not reclaimed.
     :returns: instance ids of all other holders.
     """
     heard = {card.incarnation for card in cards}
@@ -96,10 +97,10 @@
 
 
 def is_dead(row: LeaseRow, census: KnownProcesses) -> bool:
-    """Tell whether the holder of a lease is shown to be dead.
+    """Check whether the holder of a lease is confirmed dead.
 
-    :param row: its lease.
-    :param census: what is known.
+    :param row: the lease.
+    :param census: known instances and incarnations.
     :returns: whether it is.
     """
     if row.instance in census.gone:
@@ -114,13 +115,13 @@
     reads: ReadLog,
     arming_delay_s: float,
 ) -> list[ReclaimIntent]:
-    """Find the leases of a shard that may be taken back.
+    """Create intents to reclaim the leases of dead holders in a shard.
 
     :param budgets: the shard's budgets by name.
-    :param census: what is known about processes.
+    :param census: known instances and incarnations.
     :param reads: reads of this shard.
-    :param arming_delay_s: seconds, as the holders have it.
-    :returns: an intent for each.
+    :param arming_delay_s: arming delay of the holders, in seconds.
+    :returns: an intent for each lease.
     """
     limit = census.known_at - arming_delay_s
     return [
--- a/src/dykemast/_internal/operations/retry_after.py
+++ b/src/dykemast/_internal/operations/retry_after.py
@@ -1,7 +1,8 @@
-"""When a caller comes back whom a router without tokens has refused.
+"""Retry-After of a caller refused by a router without tokens.
 
-In a cut each router has tokens of its own, and callers reach all of them. The
-router knows from before the cut what the others kept, and how fast they use it.
+In a network partition each router has its own tokens, and callers reach all
+routers. The router knows from the last read of the budget how many tokens the
+others kept, and how fast they use them.
 """
 
 from typing import Final
@@ -9,15 +10,15 @@
 from dykemast._internal.models.budget_ledger import BudgetLedger, LedgerRow
 from dykemast._internal.operations.allowance_terms import Identity
 
-#: Seconds after which a caller may come back to another router: by then the
-#: answer has reached it.
-ELSEWHERE_TIME: Final = 0.05
-#: Seconds after which it may come back when others are as short: half of a
-#: common outage.
-OUTAGE_TIME: Final = 4.0
-#: Part of the other routers that have to have enough: callers draw one of
-#: them, an answer in time is worth all of a request and a second refusal costs
-#: 0.3 of it, so that the draw pays from 0.23 on.
+#: Retry-After when another router may have tokens: about the time that the
+#: response takes to the caller.
+OTHER_ROUTER_RETRY_S: Final = 0.05
+#: Retry-After when the other routers lack tokens too: half of a typical
+#: outage.
+OUTAGE_RETRY_S: Final = 4.0
+#: Share of the other routers that must have enough tokens. Callers retry at a
+#: random one; a response in time is worth a whole request and a second
+#: refusal costs 0.3 of it, so the retry pays off from a share of 0.23.
 LIKELY_SHARE: Final = 0.25
 
 
@@ -27,23 +28,23 @@
     tokens: int,
     age: float,
 ) -> float:
-    """Measure after how many seconds a caller should come back.
+    """Compute after how many seconds a caller should retry.
 
-    :param ledger: the budget as it was last seen; None when it never was.
+    :param ledger: the budget as last read; None if it was never read.
     :param identity: this router, which has too few tokens.
-    :param tokens: how many the request may consume.
-    :param age: seconds since the budget was seen.
+    :param tokens: upper bound of the request's consumption.
+    :param age: seconds since the budget was read.
     :returns: seconds.
     """
     if ledger is None:
-        # Nobody asked here for a while, so the others have what there is.
-        return ELSEWHERE_TIME
+        # No request has used the budget here, so the others have its tokens.
+        return OTHER_ROUTER_RETRY_S
     others = [
         row for name, row in ledger.rows.items() if name != identity.incarnation
     ]
     able = [row for row in others if _estimate_spare(row, age) >= tokens]
     likely = len(able) > LIKELY_SHARE * len(others)
-    return ELSEWHERE_TIME if likely else OUTAGE_TIME
+    return OTHER_ROUTER_RETRY_S if likely else OUTAGE_RETRY_S
 
 
 def _estimate_spare(row: LedgerRow, age: float) -> float:
--- a/src/dykemast/_internal/operations/spare_size.py
+++ b/src/dykemast/_internal/operations/spare_size.py
@@ -1,27 +1,27 @@
-"""How many tokens of a budget a router keeps spare."""
+"""Number of spare tokens of a budget that a router keeps."""
 
 from typing import Final
 
 from dykemast._internal.models.budget_ledger import BudgetLedger
 from dykemast._internal.operations.allowance_terms import Identity
 
-#: Part of the unused tokens that all routers together may keep spare. What
-#: is spare serves requests in a cut, and is lost when its router dies.
+#: Share of the unused tokens that all routers together may keep spare. Spare
+#: tokens serve requests in a network partition; a router that dies loses them.
 SPARE_SHARE: Final = 0.35
-#: Part of a budget that may be lost in all as spare of routers that died. What
-#: is kept spare shrinks as that is used up: deaths in series would else strand
-#: nearly all that nobody has consumed.
+#: Share of a budget that may be lost as spare tokens of dead routers. Spare
+#: tokens shrink with what is left of it: otherwise repeated deaths would make
+#: nearly all unconsumed tokens unusable.
 LOSS_SHARE: Final = 0.2
-#: Seconds of demand to keep spare at most, for cuts in which every router is
-#: alone: about as long as one lasts.
-SPARE_TIME: Final = 9.0
-#: Tokens to keep spare beyond that: a request of the larger kind.
-SPARE_FLOOR: Final = 8000
-#: Part of the mean demand that counts for each router, so that one without
-#: requests so far gets something too.
-DEMAND_FLOOR: Final = 0.1
-#: Tokens a second that count for each router at least.
-MIN_DEMAND: Final = 100
+#: Demand to keep spare at most: about the duration of a network partition in
+#: which every router is isolated.
+SPARE_DEMAND_S: Final = 9.0
+#: Spare tokens beyond that: enough for one large request.
+EXTRA_SPARE_TOKENS: Final = 8000
+#: Share of the mean demand added for each router, so that one without
+#: requests so far gets spare tokens too.
+MIN_DEMAND_SHARE: Final = 0.1
+#: Demand added for each router.
+MIN_DEMAND_PER_S: Final = 100
 
 
 def compute_spare(
@@ -29,34 +29,36 @@
     identity: Identity,
     routers: int,
 ) -> int:
-    """Measure how many tokens one router may keep spare.
+    """Compute how many tokens one router may keep spare.
 
-    Spare tokens go where requests come: those of a workspace often meet one
-    router only. Those of all rows together never exceed what deaths may cost
-    the budget.
+    Spare tokens are shared by demand, since the requests of a workspace often
+    reach one router only. All rows together never have more spare tokens than
+    the budget may lose by deaths.
 
     :param ledger: the budget, with a row of the router.
     :param identity: the router.
-    :param routers: routers that share the budget.
+    :param routers: number of routers that share the budget.
     :returns: tokens.
     """
     row = ledger.rows[identity.incarnation]
-    wanted = SPARE_FLOOR + SPARE_TIME * row.demand
-    share = _measure_share(ledger, row.demand, routers)
-    most = measure_most(ledger)
-    # Shares are reckoned one after the other, as demand goes up and down, so
-    # that they may add up to more than the whole.
+    wanted = EXTRA_SPARE_TOKENS + SPARE_DEMAND_S * row.demand
+    share = _compute_demand_share(ledger, row.demand, routers)
+    most = compute_max_spare(ledger)
+    # Rows are computed at different times, with changing demand, so the
+    # shares may add up to more than 1.
     free = most - ledger.count_spare() + row.count_spare()
     return max(0, int(min(wanted, share * most, free)))
 
 
-def measure_most(ledger: BudgetLedger) -> float:
-    """Measure how many tokens all routers together may keep spare.
+def compute_max_spare(ledger: BudgetLedger) -> float:
+    """Compute how many tokens all routers together may keep spare.
 
     :param ledger: the budget.
     :returns: tokens.
     """
-    return min(_measure_share_of_unused(ledger), _measure_risk(ledger))
+    return min(
+        _compute_share_of_unused(ledger), _compute_loss_allowance(ledger)
+    )
 
 
 def compute_loan(
@@ -64,44 +66,45 @@
     spare: int,
     demand: float,
 ) -> int:
-    """Measure how much of what a borrower would keep spare it gets.
+    """Compute how many of the requested spare tokens a borrower gets.
 
-    What many routers keep spare serves in a cut, and is lost when all of them
-    die, so that all together get no more than rows may keep spare.
+    Spare tokens of many routers serve requests in a network partition, and
+    are lost if all of these die. So all borrowers together get no more than
+    rows may keep spare.
 
-    :param ledger: the budget; None when it is not known.
-    :param spare: tokens that the borrower would keep for some seconds of its
-        own demand.
-    :param demand: tokens a second that all borrowers together ask for.
+    :param ledger: the budget; None if it is not known.
+    :param spare: spare tokens requested, for some seconds of the borrower's
+        demand.
+    :param demand: demand of all borrowers, in tokens per second.
     :returns: tokens.
     """
     if ledger is None:
         return spare
-    wanted = max(1, spare, SPARE_TIME * demand)
-    return int(spare * min(1, measure_most(ledger) / wanted))
+    wanted = max(1, spare, SPARE_DEMAND_S * demand)
+    return int(spare * min(1, compute_max_spare(ledger) / wanted))
 
 
-def _measure_share_of_unused(ledger: BudgetLedger) -> float:
-    """Measure how many unused tokens all routers together may keep spare."""
+def _compute_share_of_unused(ledger: BudgetLedger) -> float:
+    """Compute the spare tokens allowed by the unused part of the budget."""
     unused = ledger.count_unused()
-    # Falls faster than what is unused: towards its end, what a death strands
-    # is what a budget still has.
+    # Falls faster than the unused tokens: near the end of a budget, the
+    # tokens lost by a death are most of the rest.
     left = unused / max(1, ledger.prepaid)
     return SPARE_SHARE * left * unused
 
 
-def _measure_risk(ledger: BudgetLedger) -> float:
-    """Measure how many tokens may still be lost to deaths."""
+def _compute_loss_allowance(ledger: BudgetLedger) -> float:
+    """Compute how many tokens may still be lost by deaths."""
     return max(0, LOSS_SHARE * ledger.prepaid - ledger.closed_spare)
 
 
-def _measure_share(
+def _compute_demand_share(
     ledger: BudgetLedger,
     demand: float,
     routers: int,
 ) -> float:
-    """Measure a router's part of the demand, from 0 to 1."""
+    """Compute a router's share of the demand, from 0 to 1."""
     total = sum(row.demand for row in ledger.rows.values())
-    floor = MIN_DEMAND + DEMAND_FLOOR * total / max(1, routers)
+    floor = MIN_DEMAND_PER_S + MIN_DEMAND_SHARE * total / max(1, routers)
     sharing = max(routers, len(ledger.rows))
     return (demand + floor) / (total + floor * sharing)
--- a/src/dykemast/_internal/serving/tokens/accounts.py
+++ b/src/dykemast/_internal/serving/tokens/accounts.py
@@ -27,7 +27,7 @@
 #: Seconds for which a budget without free tokens is not written again to get
 #: some: others give back when their routers end, or at a new configuration.
 #: It bounds the calls for one budget to one a second and router.
-EMPTY_TIME: Final = 1.0
+EMPTY_RECHECK_S: Final = 1.0
 
 
 @dataclasses.dataclass
@@ -49,7 +49,7 @@
     :param seen_at: seconds at which ``ledger`` was last seen in the store.
     :param borrowed_at: seconds at which tokens were last borrowed ahead.
     :param written_at: seconds at which it was last written, or tried to be.
-    :param turn: held while it is written. Of two writes at once the older
+    :param write_lock: held while it is written. Of two writes at once the older
         answer could come last, and be taken for the row in the store.
     """
 
@@ -66,7 +66,7 @@
     seen_at: float = NEVER
     borrowed_at: float = NEVER
     written_at: float = NEVER
-    turn: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
+    write_lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
 
     def is_short_of(self, tokens: int) -> bool:
         """Tell whether there were too few tokens a moment ago.
@@ -88,7 +88,7 @@
             return True
         if self.ledger.version < terms.version:
             return True
-        return read_clock() > self.written_at + EMPTY_TIME
+        return read_clock() > self.written_at + EMPTY_RECHECK_S
 
     def end_waiting(self, tokens: int) -> None:
         """Note that a request waits no more.
@@ -97,7 +97,7 @@
         """
         self.pending -= tokens
 
-    def see(self, stored: StoreObject | None) -> None:
+    def record_stored(self, stored: StoreObject | None) -> None:
         """Take note of the object as it is in the store.
 
         :param stored: the object, with revision 0 when there is none; None
@@ -131,17 +131,17 @@
         revision = self.stored.revision if self.stored else 0
         return encode_ledger(self.workspace, revision, planned)
 
-    def take_written(self, written: StoreObject) -> None:
+    def apply_written(self, written: StoreObject) -> None:
         """Use what the store has confirmed.
 
         :param written: the object.
         """
-        self.see(written)
+        self.record_stored(written)
         if self.ledger:
             row = self.ledger.rows[self.identity.incarnation]
             self.allowance.confirm_limit(row.limit)
 
-    def measure_target(self, routers: int) -> int:
+    def compute_spare_target(self, routers: int) -> int:
         """Measure how many tokens this router should keep spare.
 
         :param routers: routers that share the budget.
--- a/src/dykemast/_internal/serving/tokens/budget_upkeep.py
+++ b/src/dykemast/_internal/serving/tokens/budget_upkeep.py
@@ -12,15 +12,15 @@
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds between two looks at the rows.
-REVIEW_PAUSE: Final = 0.5
+REVIEW_INTERVAL_S: Final = 0.5
 #: Seconds between two writes of a budget on nobody's behalf.
-IDLE_WRITE_PAUSE: Final = 3.0
+IDLE_WRITE_INTERVAL_S: Final = 3.0
 #: Part of its target to which spare may fall before more is asked for, and
 #: times its target to which it may grow before some is given back.
 REFILL_SHARE: Final = 0.5
 SURPLUS_FACTOR: Final = 2
 #: Tokens by which that has to be worth a call.
-MIN_CHANGE: Final = 4000
+MIN_CHANGE_TOKENS: Final = 4000
 
 
 async def follow_table(upkeep: Upkeep) -> None:
@@ -42,7 +42,7 @@
     """
     await read_rows(upkeep)
     while True:
-        await asyncio.sleep(REVIEW_PAUSE)
+        await asyncio.sleep(REVIEW_INTERVAL_S)
         for account in upkeep.budgets.accounts.values():
             if needs_write(upkeep, account):
                 upkeep.search.start(account, upkeep.writer.write(account))
@@ -104,10 +104,10 @@
 
 
 def _is_off_target(account: Account, routers: int) -> bool:
-    if read_clock() - account.written_at < IDLE_WRITE_PAUSE:
+    if read_clock() - account.written_at < IDLE_WRITE_INTERVAL_S:
         return False
     room = account.allowance.count_available()
-    target = account.measure_target(routers)
-    if abs(room - target) < MIN_CHANGE:
+    target = account.compute_spare_target(routers)
+    if abs(room - target) < MIN_CHANGE_TOKENS:
         return False
     return not REFILL_SHARE * target < room < SURPLUS_FACTOR * target
--- a/src/dykemast/_internal/serving/tokens/budgets.py
+++ b/src/dykemast/_internal/serving/tokens/budgets.py
@@ -20,7 +20,7 @@
 
 #: Tokens of a budget that the least urgent requests leave for others: an
 #: urgent one.
-URGENT_RESERVE: Final = 12_000
+URGENT_RESERVE_TOKENS: Final = 12_000
 #: First priority of a route that counts as not urgent.
 LATER_PRIORITY: Final = 2
 
@@ -73,7 +73,7 @@
         """
         account = self.get_account(workspace.name)
         account.demand.record(tokens, read_clock())
-        reserve = URGENT_RESERVE if priority >= LATER_PRIORITY else 0
+        reserve = URGENT_RESERVE_TOKENS if priority >= LATER_PRIORITY else 0
         if not take_hold(account, tokens, reserve):
             await self._search.wait_for_tokens(account, tokens, reserve)
         return Hold(workspace.name, tokens)
--- a/src/dykemast/_internal/serving/tokens/ledger_writer.py
+++ b/src/dykemast/_internal/serving/tokens/ledger_writer.py
@@ -37,7 +37,7 @@
         self._store = store
         self._failed_at = -AWAY_PAUSE
         #: Whether the last call failed.
-        self.is_away = False
+        self.is_store_unavailable = False
 
     def may_call_store(self) -> bool:
         """Tell whether a call makes sense now.
@@ -66,9 +66,9 @@
         :param account: the budget.
         :param spare: whether to keep any tokens spare.
         """
-        async with account.turn:
+        async with account.write_lock:
             await self._write_logged(account, spare=spare)
-        self._board.budget_write_failed = self.is_away
+        self._board.budget_write_failed = self.is_store_unavailable
 
     async def _write_logged(self, account: Account, *, spare: bool) -> None:
         account.written_at = read_clock()
@@ -83,11 +83,11 @@
             self._note_failure(account, 'budget_not_usable', error)
         except PlatformError as error:
             self._note_failure(account, 'budget_not_written', error)
-            self.is_away = True
+            self.is_store_unavailable = True
             self._failed_at = read_clock()
         else:
-            self.is_away = False
-            _log('budget_written', **describe(account))
+            self.is_store_unavailable = False
+            _log('budget_written', **describe_account(account))
 
     def _note_failure(
         self,
@@ -96,14 +96,14 @@
         error: PlatformError,
     ) -> None:
         """Take note that a row was not written though the store answers."""
-        account.see(None)
-        self.is_away = False
+        account.record_stored(None)
+        self.is_store_unavailable = False
         _log(event, workspace=account.workspace, reason=str(error))
 
     async def _write(self, account: Account, *, spare: bool) -> None:
         for _ in range(MAX_CONFLICTS):
             if account.stored is None:
-                account.see(
+                account.record_stored(
                     await self._store.read(BUDGET_KIND, account.workspace)
                 )
             terms = self.read_terms(account.workspace)
@@ -113,14 +113,14 @@
             try:
                 written = await self._store.write(BUDGET_KIND, planned)
             except VersionConflictError as conflict:
-                account.see(conflict.current)
+                account.record_stored(conflict.current)
             else:
-                account.take_written(written)
+                account.apply_written(written)
                 return
         raise ContendedError(f'{MAX_CONFLICTS} conflicts in a row')
 
 
-def describe(account: Account) -> dict[str, Any]:
+def describe_account(account: Account) -> dict[str, Any]:
     """Describe a budget for the log.
 
     :param account: the budget.
--- a/src/dykemast/_internal/serving/tokens/token_search.py
+++ b/src/dykemast/_internal/serving/tokens/token_search.py
@@ -10,7 +10,7 @@
 from dykemast._internal.serving.tokens.holds import Shortage
 from dykemast._internal.serving.tokens.ledger_writer import (
     LedgerWriter,
-    describe,
+    describe_account,
 )
 from dykemast._internal.serving.requests.refusals import (
     RefusalCode,
@@ -22,12 +22,12 @@
 #: Seconds that a request waits for tokens: nearly all are had in one write to a
 #: store that is slow; what takes longer is mostly refused, and its caller has
 #: lost more.
-HOLD_PATIENCE: Final = 0.18
+HOLD_TIMEOUT_S: Final = 0.18
 #: Seconds for which a lack of tokens is believed without asking again.
-SHORT_TIME: Final = 0.5
+SHORTAGE_VALID_S: Final = 0.5
 #: Seconds after which a request refused for lack of tokens may come back:
 #: others end and give back in about 2 s.
-SHORT_RETRY: Final = 2.5
+SHORTAGE_RETRY_AFTER_S: Final = 2.5
 
 
 @contextlib.contextmanager
@@ -42,7 +42,7 @@
     if account.is_short_of(tokens):
         # Fewer were refused a moment ago; that says more.
         return
-    account.shortage = Shortage(tokens, read_clock() + SHORT_TIME)
+    account.shortage = Shortage(tokens, read_clock() + SHORTAGE_VALID_S)
 
 
 class TokenSearch:
@@ -105,7 +105,7 @@
             return
         with _pending(account, tokens):
             search = self.start(account, self.source.find(account))
-            await asyncio.wait((search,), timeout=HOLD_PATIENCE)
+            await asyncio.wait((search,), timeout=HOLD_TIMEOUT_S)
         if account.allowance.count_available() < tokens:
             _note_shortage(account, tokens)
 
@@ -115,7 +115,7 @@
         tokens: int,
         reserve: int,
     ) -> bool:
-        limit = read_clock() + HOLD_PATIENCE
+        limit = read_clock() + HOLD_TIMEOUT_S
         # The first search may have begun before this request came.
         for _ in range(2):
             search = self.start(account, self.source.find(account))
@@ -126,8 +126,8 @@
         return False
 
     def _refuse(self, account: Account, tokens: int) -> RefusedError:
-        details = {'wanted': tokens, **describe(account)}
-        if self._writer.is_away:
+        details = {'wanted': tokens, **describe_account(account)}
+        if self._writer.is_store_unavailable:
             away = read_clock() - account.seen_at
             pause = compute_retry_after(
                 account.ledger, account.identity, tokens, away
@@ -136,4 +136,6 @@
         unspent = account.ledger.count_unspent() if account.ledger else tokens
         if unspent < tokens:
             return RefusedError(RefusalCode.budget_spent, details)
-        return RefusedError(RefusalCode.budget_held, details, SHORT_RETRY)
+        return RefusedError(
+            RefusalCode.budget_held, details, SHORTAGE_RETRY_AFTER_S
+        )
--- a/src/dykemast/_internal/serving/tokens/token_source.py
+++ b/src/dykemast/_internal/serving/tokens/token_source.py
@@ -20,15 +20,15 @@
 
 #: Seconds of its own demand that a router borrows from a budget's keeper beyond
 #: what it needs: about as long as a cut lasts.
-LOAN_TIME: Final = 9.0
+LOAN_DEMAND_S: Final = 9.0
 #: Part of that to which it may fall before more is borrowed ahead.
-LOAN_SHARE: Final = 0.5
+LOAN_REFILL_SHARE: Final = 0.5
 #: Seconds between two loans of a budget on nobody's behalf, and tokens from
 #: which on one is worth a call.
-LOAN_PAUSE: Final = 1.0
-MIN_LOAN: Final = 4000
+LOAN_INTERVAL_S: Final = 1.0
+MIN_LOAN_TOKENS: Final = 4000
 #: Seconds longer after one that brought less.
-SCARCE_PAUSE: Final = 3.0
+SCARCE_DELAY_S: Final = 3.0
 
 
 def compute_loan_target(account: Account) -> int:
@@ -37,7 +37,9 @@
     :param account: the budget.
     :returns: tokens.
     """
-    return int(account.demand.compute_window_average(read_clock()) * LOAN_TIME)
+    return int(
+        account.demand.compute_window_average(read_clock()) * LOAN_DEMAND_S
+    )
 
 
 def needs_loan(board: ServingBoard, account: Account) -> bool:
@@ -53,12 +55,12 @@
     """
     if board.stopping or not is_large_fleet(board):
         return False
-    if read_clock() - account.borrowed_at < LOAN_PAUSE:
+    if read_clock() - account.borrowed_at < LOAN_INTERVAL_S:
         return False
     reserve = compute_loan_target(account)
-    if reserve < MIN_LOAN:
+    if reserve < MIN_LOAN_TOKENS:
         return False
-    if account.allowance.count_available() > LOAN_SHARE * reserve:
+    if account.allowance.count_available() > LOAN_REFILL_SHARE * reserve:
         return False
     return not is_owner(board, account.workspace)
 
@@ -90,10 +92,10 @@
         account.borrowed_at = read_clock()
         before = account.allowance.count_available()
         await self._ask_keeper(account)
-        if account.allowance.count_available() < before + MIN_LOAN:
+        if account.allowance.count_available() < before + MIN_LOAN_TOKENS:
             # A budget near its end lends next to nothing; asked each second
             # by all, its keeper would do little else.
-            account.borrowed_at += SCARCE_PAUSE
+            account.borrowed_at += SCARCE_DELAY_S
 
     async def return_loans(self, account: Account) -> None:
         """Give the keeper what no request of this router holds.
--- a/src/dykemast/_internal/serving/tokens/upkeep.py
+++ b/src/dykemast/_internal/serving/tokens/upkeep.py
@@ -59,6 +59,6 @@
         return
     for stored in listing.found:
         try:
-            upkeep.budgets.get_account(stored.name).see(stored)
+            upkeep.budgets.get_account(stored.name).record_stored(stored)
         except InvalidBudgetError as error:
             _log('budget_not_usable', workspace=stored.name, reason=str(error))
--- a/tests/unit/test_cuts.py
+++ b/tests/unit/test_cuts.py
@@ -19,8 +19,8 @@
 from dykemast._internal.operations.demand import Demand
 from dykemast._internal.operations.ledger_rows import plan_ledger
 from dykemast._internal.operations.retry_after import (
-    ELSEWHERE_TIME,
-    OUTAGE_TIME,
+    OTHER_ROUTER_RETRY_S,
+    OUTAGE_RETRY_S,
     compute_retry_after,
 )
 
@@ -143,15 +143,15 @@
 def test_callers_return_at_once_where_others_have_tokens() -> None:
     # All were told to come back in 4 s, when an answer earns a third.
     rich = make_ledger(9000, 9000, 9000)
-    assert compute_retry_after(rich, OWN, 1000, 1) == ELSEWHERE_TIME
-    assert compute_retry_after(None, OWN, 1000, 1) == ELSEWHERE_TIME
+    assert compute_retry_after(rich, OWN, 1000, 1) == OTHER_ROUTER_RETRY_S
+    assert compute_retry_after(None, OWN, 1000, 1) == OTHER_ROUTER_RETRY_S
 
 
 def test_callers_are_not_sent_round_where_all_are_short() -> None:
     poor = make_ledger(900, 900, 900)
-    assert compute_retry_after(poor, OWN, 1000, 0) == OUTAGE_TIME
+    assert compute_retry_after(poor, OWN, 1000, 0) == OUTAGE_RETRY_S
     one_of_four = make_ledger(9000, 0, 0, 0)
-    assert compute_retry_after(one_of_four, OWN, 1000, 0) == OUTAGE_TIME
+    assert compute_retry_after(one_of_four, OWN, 1000, 0) == OUTAGE_RETRY_S
     # What the others had when the cut began they have used since.
     rich = make_ledger(9000, 9000, 9000)
-    assert compute_retry_after(rich, OWN, 1000, 85) == OUTAGE_TIME
+    assert compute_retry_after(rich, OWN, 1000, 85) == OUTAGE_RETRY_S
--- a/tests/unit/test_ledger_writer.py
+++ b/tests/unit/test_ledger_writer.py
@@ -91,7 +91,7 @@
     # with when to come back in 4 s; it had answered each call.
     writer = LedgerWriter(make_board(), ContendedStore())
     await writer.write(Account('w', Identity('node-0', 'node-0/1')))
-    assert not writer.is_away
+    assert not writer.is_store_unavailable
     assert writer.may_call_store()
 
 
--- a/tests/unit/test_loans.py
+++ b/tests/unit/test_loans.py
@@ -6,7 +6,7 @@
 from dykemast._internal.operations.allowance_terms import Identity, Terms
 from dykemast._internal.operations.spare_size import LOSS_SHARE, compute_loan
 from dykemast._internal.serving.tokens.accounts import (
-    EMPTY_TIME,
+    EMPTY_RECHECK_S,
     Account,
     record_loan,
 )
@@ -53,13 +53,13 @@
     assert account.may_get_tokens(terms._replace(version=2)), (
         'it may be topped up'
     )
-    account.written_at -= EMPTY_TIME
+    account.written_at -= EMPTY_RECHECK_S
     assert account.may_get_tokens(terms)
 
 
 def test_a_borrower_gives_back_what_no_request_holds() -> None:
     boards = make_boards(87)
-    kept = find_kept_elsewhere(boards[0])
+    kept = find_owned_elsewhere(boards[0])
     budgets = Budgets(boards[0], Identity('node-0', 'node-0/1'), search=None)
     account = budgets.get_account(kept)
     account.allowance.borrowed = 3000
@@ -75,7 +75,7 @@
     # It says nothing of what it would keep besides: while both builds run, each
     # such loan failed at the lender.
     boards = make_boards(87)
-    kept = find_kept_elsewhere(boards[0])
+    kept = find_owned_elsewhere(boards[0])
     budgets = Budgets(boards[0], Identity('node-0', 'node-0/1'), search=None)
     budgets.get_account(kept).allowance.borrowed = 3000
     assert asyncio.run(budgets.lend(kept, 2000, 'node-9', None)) == 2000
@@ -106,7 +106,7 @@
     assert compute_loan(None, 500, 0) == 500
 
 
-def find_kept_elsewhere(board: ServingBoard) -> str:
+def find_owned_elsewhere(board: ServingBoard) -> str:
     """Find a workspace whose budget another router keeps."""
     names = (f'shop-{number}' for number in range(9))
     return next(name for name in names if find_owner(board, name))
--- a/tests/unit/test_loans_ahead.py
+++ b/tests/unit/test_loans_ahead.py
@@ -8,14 +8,14 @@
 from dykemast._internal.serving.tokens.accounts import Account
 from dykemast._internal.serving.tokens.holds import NEVER
 from dykemast._internal.serving.tokens.token_source import (
-    LOAN_TIME,
+    LOAN_DEMAND_S,
     TokenSource,
     compute_loan_target,
     needs_loan,
 )
 from dykemast._internal.utils.clock import read_clock
 from tests.lib.serving_boards import make_boards
-from tests.unit.test_loans import find_kept_elsewhere
+from tests.unit.test_loans import find_owned_elsewhere
 
 #: Routers of a fleet that got one request each in some seconds.
 ROUTERS = 87
@@ -26,7 +26,7 @@
 def make_spending_account(board: ServingBoard, rate: float) -> Account:
     """Make the account of a budget that another router keeps."""
     account = Account(
-        find_kept_elsewhere(board), Identity('node-0', 'node-0/1')
+        find_owned_elsewhere(board), Identity('node-0', 'node-0/1')
     )
     for second in range(20):
         account.demand.record(rate, read_clock() - 20 + second)
@@ -63,7 +63,7 @@
         account.demand.record(PROMPT, now - SECONDS * number / ROUTERS)
         reserved += compute_loan_target(account)
     rate = ROUTERS * PROMPT / SECONDS
-    assert reserved < LOAN_TIME * rate
+    assert reserved < LOAN_DEMAND_S * rate
 
 
 class Keeper:
--- a/tests/unit/test_reserves.py
+++ b/tests/unit/test_reserves.py
@@ -10,7 +10,7 @@
 from dykemast._internal.serving.tokens.accounts import Account
 from dykemast._internal.serving.tokens.budgets import (
     LATER_PRIORITY,
-    URGENT_RESERVE,
+    URGENT_RESERVE_TOKENS,
     Budgets,
 )
 from dykemast._internal.serving.tokens.ledger_writer import LedgerWriter
@@ -49,7 +49,7 @@
 
 
 def test_the_least_urgent_leave_a_reserve_of_the_budget() -> None:
-    enough = 1000 + URGENT_RESERVE
+    enough = 1000 + URGENT_RESERVE_TOKENS
     assert hold_late_request(enough, room=1000) == (True, 0)
     assert hold_late_request(enough - 1, room=1000) == (False, 1000)
     # A router that only borrows does not know the budget.
--- a/tests/unit/test_returned_loans.py
+++ b/tests/unit/test_returned_loans.py
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         board = make_boards(30)[0]
         board.stopping = True
-        workspace = test_loans.find_kept_elsewhere(board)
+        workspace = test_loans.find_owned_elsewhere(board)
         self.keeper = find_owner(board, workspace)
         self.peers = Peers()
         self.store = test_ledger_writer.LateStore()
--- a/tests/unit/test_stranded_budgets.py
+++ b/tests/unit/test_stranded_budgets.py
@@ -46,7 +46,7 @@
         return self._lends
 
 
-def find_kept_elsewhere(board: ServingBoard) -> Account:
+def find_owned_elsewhere(board: ServingBoard) -> Account:
     names = (f'shop-{number}' for number in range(99))
     kept = next(name for name in names if find_owner(board, name))
     account = Account(kept, Identity('node-0', 'node-0/1'))
@@ -57,7 +57,7 @@
 def search(lends: int, *, keeper_away: bool) -> tuple[int, int]:
     """Tell how many tokens were found, in how many writes."""
     board = make_boards(ROUTERS)[0]
-    account = find_kept_elsewhere(board)
+    account = find_owned_elsewhere(board)
     keeper = find_owner(board, account.workspace)
     board.peers[keeper.instance].budget_write_failed = keeper_away
     writer = Writer()
--- a/tests/unit/test_token_search.py
+++ b/tests/unit/test_token_search.py
@@ -29,7 +29,7 @@
 class Writer:
     """Tells that the store answers."""
 
-    is_away = False
+    is_store_unavailable = False
 
 
 async def ask_twice(search: TokenSearch, account: Account) -> RefusedError:
--- a/tools/fleet_mutations.py
+++ b/tools/fleet_mutations.py
@@ -6,7 +6,7 @@
 
 _INTERNAL: Final = 'dykemast/_internal'
 _OTHERS_CARRY_MORE: Final = 'return has_peer_with_capacity(board)'
-_RESERVE: Final = 'URGENT_RESERVE if priority >= LATER_PRIORITY else 0'
+_RESERVE: Final = 'URGENT_RESERVE_TOKENS if priority >= LATER_PRIORITY else 0'
 
 #: Mutations of these rules.
 FLEET_MUTATIONS: Final = (
@@ -142,7 +142,7 @@
         'write an empty budget for each request',
         'calls to the store stay few',
         f'{_INTERNAL}/serving/tokens/accounts.py',
-        'return read_clock() > self.written_at + EMPTY_TIME',
+        'return read_clock() > self.written_at + EMPTY_RECHECK_S',
         'return True',
         'test_loans',
     ),
--- a/tools/load_mutations.py
+++ b/tools/load_mutations.py
@@ -30,8 +30,8 @@
         'keep spare for half of a cut',
         _SERVED,
         f'{_INTERNAL}/operations/spare_size.py',
-        'SPARE_TIME: Final = 9.0',
-        'SPARE_TIME: Final = 4.0',
+        'SPARE_DEMAND_S: Final = 9.0',
+        'SPARE_DEMAND_S: Final = 4.0',
         _CUTS,
     ),
     Mutation(
--- a/tools/serving_mutations.py
+++ b/tools/serving_mutations.py
@@ -172,8 +172,8 @@
         'charge what was read of an answer that broke off',
         'spend never exceeds the budget',
         f'{_INTERNAL}/operations/stream_usage.py',
-        'self._unread += self._output - self._read',
-        'self._unread += 0',
+        'self._unread_tokens += self._output - self._read',
+        'self._unread_tokens += 0',
         'test_stream_usage',
     ),
     Mutation(
