--- a/src/dykemast/_internal/serving/tokens/__init__.py
+++ b/src/dykemast/_internal/serving/tokens/__init__.py
@@ -1,5 +1,6 @@
-"""Tokens of workspaces' budgets, set aside for requests.
+"""Reservation of tokens of workspaces' budgets for requests.
 
-In: tokens that a request may consume at the most. Out: a hold, found here,
-in the store or at a peer, or a refusal; rows of budgets in the store.
+Input: upper bound of the tokens that a request consumes. Output: a hold on
+tokens from this router, the store or a peer, or a refusal; rows of budgets
+in the store.
 """
--- a/src/dykemast/_internal/serving/tokens/accounts.py
+++ b/src/dykemast/_internal/serving/tokens/accounts.py
@@ -1,4 +1,4 @@
-"""State of the budgets that this router draws on."""
+"""State of the budgets that this router uses."""
 
 import asyncio
 import dataclasses
@@ -22,33 +22,33 @@
 )
 from dykemast._internal.utils.clock import read_clock
 
-#: Kind of the objects that hold the budgets.
+#: Kind of the store objects of budgets.
 BUDGET_KIND: Final = 'dykemast-budgets'
-#: Seconds for which a budget without free tokens is not written again to get
-#: some: others give back when their routers end, or at a new configuration.
-#: It bounds the calls for one budget to one a second and router.
+#: Interval between writes that request tokens of a budget without free ones,
+#: which bounds the calls per budget and router. Tokens become free when other
+#: routers end, or with a new configuration.
 EMPTY_RECHECK_S: Final = 1.0
 
 
 @dataclasses.dataclass
 class Account:
-    """One workspace's budget, as this router knows it.
-
-    :param workspace: its name.
-    :param identity: who this router is.
-    :param allowance: what it may consume.
-    :param demand: tokens that requests asked for.
-    :param net_lent: tokens lent to other routers and not got back from them,
-        by instance.
+    """Cached state of one workspace's budget at this router.
+
+    :param workspace: name of the workspace.
+    :param identity: this router.
+    :param allowance: tokens that this router may consume.
+    :param demand: tokens requested.
+    :param net_lent: tokens lent to other routers less those returned, by
+        instance.
     :param pending: tokens that requests are waiting for.
-    :param search: looks for tokens now, unless it is done.
-    :param shortage: the smallest hold that was refused lately.
-    :param stored: the object as last seen; None when it has to be read
-        before it is written again.
-    :param ledger: what it holds; stays when ``stored`` is forgotten.
-    :param seen_at: seconds at which ``ledger`` was last seen in the store.
-    :param borrowed_at: seconds at which tokens were last borrowed ahead.
-    :param written_at: seconds at which it was last written, or tried to be.
+    :param search: the latest search for tokens, which may be done.
+    :param shortage: the smallest hold that was refused recently.
+    :param stored: the object as last read; None if it has to be read before
+        the next write.
+    :param ledger: its content; kept when ``stored`` is reset.
+    :param seen_at: time at which ``ledger`` was last read or confirmed.
+    :param borrowed_at: time at which tokens were last borrowed in advance.
+    :param written_at: time of the last attempt to write.
     :param write_lock: held while it is written. Of two writes at once the older
         answer could come last, and be taken for the row in the store.
     """
@@ -69,20 +69,20 @@
     write_lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
 
     def is_short_of(self, tokens: int) -> bool:
-        """Tell whether there were too few tokens a moment ago.
+        """Check whether a hold of this size was refused recently.
 
-        :param tokens: how many are wanted.
-        :returns: whether no more than now were refused.
+        :param tokens: number of tokens requested.
+        :returns: whether as many or fewer were refused.
         """
         if read_clock() > self.shortage.until:
             return False
         return tokens >= self.shortage.tokens
 
     def may_get_tokens(self, terms: Terms) -> bool:
-        """Tell whether a write of the row may bring any tokens.
+        """Check whether a write of the row may bring any tokens.
 
-        :param terms: what bounds the row.
-        :returns: False if the store had none a moment ago.
+        :param terms: bounds of the row.
+        :returns: False if the store recently had no free tokens.
         """
         if self.ledger is None or self.ledger.count_free() > 0:
             return True
@@ -91,19 +91,19 @@
         return read_clock() > self.written_at + EMPTY_RECHECK_S
 
     def end_waiting(self, tokens: int) -> None:
-        """Note that a request waits no more.
+        """Record that a request no longer waits for tokens.
 
-        :param tokens: how many it waited for.
+        :param tokens: number of tokens that it waited for.
         """
         self.pending -= tokens
 
     def record_stored(self, stored: StoreObject | None) -> None:
-        """Take note of the object as it is in the store.
+        """Record the object as it is in the store.
 
-        :param stored: the object, with revision 0 when there is none; None
-            when it has to be read before it is written again.
-        :raises BudgetNotUsableError: when it makes no sense; what was known
-            stays, and is not written over it.
+        :param stored: the object, with revision 0 if there is none; None if
+            it has to be read before the next write.
+        :raises InvalidBudgetError: if it is invalid; the cached ledger
+            stays and does not overwrite the object.
         """
         self.stored = None
         if stored:
@@ -112,10 +112,10 @@
         self.stored = stored
 
     def plan(self, terms: Terms, *, spare: bool) -> StoreObject:
-        """Plan the next write, and obey it from now on.
+        """Create the object of the next write, and apply its limit.
 
-        :param terms: what bounds the row.
-        :param spare: whether to keep any tokens spare.
+        :param terms: bounds of the row.
+        :param spare: whether to keep spare tokens.
         :returns: the object to write.
         """
         demand = self.demand.compute_rate(read_clock())
@@ -132,7 +132,7 @@
         return encode_ledger(self.workspace, revision, planned)
 
     def apply_written(self, written: StoreObject) -> None:
-        """Use what the store has confirmed.
+        """Apply the row that the store has confirmed.
 
         :param written: the object.
         """
@@ -142,9 +142,9 @@
             self.allowance.confirm_limit(row.limit)
 
     def compute_spare_target(self, routers: int) -> int:
-        """Measure how many tokens this router should keep spare.
+        """Compute how many tokens this router should keep spare.
 
-        :param routers: routers that share the budget.
+        :param routers: number of routers that share the budget.
         :returns: tokens.
         """
         ledger = self.ledger
@@ -154,13 +154,13 @@
 
 
 def take_hold(account: Account, tokens: int, reserve: int) -> bool:
-    """Set tokens aside for a request.
+    """Reserve tokens for a request.
 
     :param account: the budget.
-    :param tokens: what it may consume at the most.
-    :param reserve: tokens of the whole budget to leave for others. Kept at
-        each router, they would be lost with the routers.
-    :returns: whether there were as many.
+    :param tokens: upper bound of its consumption.
+    :param reserve: tokens of the whole budget to leave for others. A reserve
+        at each router would be lost with the routers.
+    :returns: whether enough tokens were available.
     """
     if reserve and account.ledger:
         if account.ledger.count_unused() < tokens + reserve:
@@ -169,11 +169,11 @@
 
 
 def record_loan(account: Account, borrower: str, tokens: int) -> None:
-    """Note that tokens were lent to another router, or came back.
+    """Record that tokens were lent to another router, or returned by it.
 
     :param account: the budget.
     :param borrower: its instance.
-    :param tokens: how many; negative when they came from it.
+    :param tokens: number of tokens; negative when received from it.
     """
     before = account.net_lent.get(borrower, 0)
     account.net_lent[borrower] = before + tokens
--- a/src/dykemast/_internal/serving/tokens/budget_owners.py
+++ b/src/dykemast/_internal/serving/tokens/budget_owners.py
@@ -1,9 +1,10 @@
-"""Which router keeps the tokens of a workspace in a large fleet.
+"""Owner of a workspace's budget in a large fleet.
 
 In a small fleet every router writes its own row of each budget. In a large
-one, where a workspace meets each router seldom, that would be a call to the
-store for most requests: there one router, its keeper, holds tokens for all
-and lends them. Who it is is a hint; the store arbitrates.
+one each router gets few requests of a workspace, so this would cost a call to
+the store for most requests. There one router, the owner, obtains tokens for
+all and lends them. Several routers may act as owner at once without harm,
+since the store resolves their conflicts.
 """
 
 from collections.abc import Iterable
@@ -19,26 +20,26 @@
 from dykemast._internal.serving.state.fleet_size import is_large_fleet
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds after its start in which a router has not met the others yet.
+#: Time after the start in which a router may not know its live peers yet.
 PEER_DISCOVERY_S: Final = 1.0
 
 
 def is_owner(board: ServingBoard, workspace: str) -> bool:
-    """Tell whether this router writes its row of a budget by itself.
+    """Check whether this router writes its own row of a budget.
 
     :param board: the blackboard.
-    :param workspace: whose budget it is.
+    :param workspace: workspace of the budget.
     :returns: whether it does.
     """
     return not is_large_fleet(board) or find_owner(board, workspace) is None
 
 
 def find_owner(board: ServingBoard, workspace: str) -> PeerCard | None:
-    """Find the other router that keeps a budget.
+    """Find the other router that owns a budget.
 
     :param board: the blackboard.
-    :param workspace: whose budget it is.
-    :returns: its card; None when this router keeps it.
+    :param workspace: workspace of the budget.
+    :returns: its card; None if this router is the owner.
     """
     cards = {peer.card.instance: peer.card for peer in _list_reachable(board)}
     names = [board.settings.name, *cards]
@@ -46,9 +47,10 @@
 
 
 def _list_reachable(board: ServingBoard) -> Iterable[Peer]:
-    # Routers that start at one moment hear of each other one by one, and each
-    # would keep all budgets until then; the list is the same for all of them.
+    # Routers that start together receive gossip from each other one by one.
+    # Until then each would own all budgets, so they use the list of routers,
+    # which is the same for all of them.
     young = read_clock() - board.started_at < PEER_DISCOVERY_S
     peers = board.peers.values() if young else list_live_peers(board)
-    # Who is about to end keeps nothing for others any more.
+    # A router that is about to stop owns no budget.
     return (peer for peer in peers if not peer.card.leaving)
--- a/src/dykemast/_internal/serving/tokens/budget_parts.py
+++ b/src/dykemast/_internal/serving/tokens/budget_parts.py
@@ -1,4 +1,4 @@
-"""Where tokens of budgets come from."""
+"""Construction of the sources of tokens."""
 
 from typing import NamedTuple
 
@@ -11,10 +11,10 @@
 
 
 class Sources(NamedTuple):
-    """Where tokens come from.
+    """Sources of tokens.
 
-    :param writer: the store.
-    :param search: the store, then other routers.
+    :param writer: obtains tokens from the store.
+    :param search: obtains tokens from the store and other routers.
     """
 
     writer: LedgerWriter
@@ -26,11 +26,11 @@
     store: ObjectStore,
     gossip: Gossip,
 ) -> Sources:
-    """Make what finds tokens.
+    """Create the sources of tokens.
 
     :param board: the blackboard.
     :param store: the object store.
-    :param gossip: asks other routers.
+    :param gossip: calls other routers.
     :returns: the sources.
     """
     writer = LedgerWriter(board, store)
--- a/src/dykemast/_internal/serving/tokens/budget_upkeep.py
+++ b/src/dykemast/_internal/serving/tokens/budget_upkeep.py
@@ -1,4 +1,4 @@
-"""Keep the rows of budgets in line with demand and configuration."""
+"""Background updates of budget rows for demand and configuration."""
 
 import asyncio
 from typing import Final
@@ -11,34 +11,34 @@
 from dykemast._internal.serving.tokens.upkeep import Upkeep, read_rows
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds between two looks at the rows.
+#: Interval between checks of the rows.
 REVIEW_INTERVAL_S: Final = 0.5
-#: Seconds between two writes of a budget on nobody's behalf.
+#: Interval between writes of a budget that no request waits for.
 IDLE_WRITE_INTERVAL_S: Final = 3.0
-#: Part of its target to which spare may fall before more is asked for, and
-#: times its target to which it may grow before some is given back.
+#: Factors of the target between which spare tokens are left as they are:
+#: below more are requested, above some are returned.
 REFILL_SHARE: Final = 0.5
 SURPLUS_FACTOR: Final = 2
-#: Tokens by which that has to be worth a call.
+#: Difference to the target that is worth a call.
 MIN_CHANGE_TOKENS: Final = 4000
 
 
 async def follow_table(upkeep: Upkeep) -> None:
-    """Obey each new configuration at once, for ever.
+    """Apply each new configuration at once, as a background loop.
 
-    :param upkeep: what it needs.
+    :param upkeep: shared components.
     """
     while True:
         await upkeep.board.table_changed.wait()
         upkeep.board.table_changed.clear()
         for account in upkeep.budgets.accounts.values():
-            _obey_table(upkeep, account)
+            _apply_table(upkeep, account)
 
 
 async def review_rows(upkeep: Upkeep) -> None:
-    """Write rows whose spare is off its target, for ever.
+    """Write rows whose spare tokens are off target, as a background loop.
 
-    :param upkeep: what it needs.
+    :param upkeep: shared components.
     """
     await read_rows(upkeep)
     while True:
@@ -52,52 +52,52 @@
 
 
 async def return_spare(upkeep: Upkeep) -> bool:
-    """Give everything back that is not consumed or held.
+    """Return all tokens that are neither consumed nor held.
 
-    :param upkeep: what it needs.
-    :returns: whether the store has confirmed it of all budgets.
+    :param upkeep: shared components.
+    :returns: whether the store has confirmed this for all budgets.
     """
     accounts = list(upkeep.budgets.accounts.values())
     if is_large_fleet(upkeep.board):
         returns = (upkeep.search.source.return_loans(one) for one in accounts)
         await asyncio.gather(*returns)
-        # Who only borrowed has no row to write.
+        # A router that only borrowed has no row to write.
         accounts = [one for one in accounts if one.written_at > NEVER]
     for account in accounts:
-        _drop_spare(account)
+        _release_spare(account)
     if not upkeep.writer.may_call_store():
         return False
-    # All at once: one after the other, ten budgets would take longer than a
-    # stop has when a call takes 0.1 s.
+    # Concurrently: one after the other, ten budgets at 0.1 s per call would
+    # take longer than a planned stop allows.
     writes = (upkeep.writer.write(one, spare=False) for one in accounts)
     await asyncio.gather(*writes)
     return all(one.stored for one in accounts)
 
 
-def _obey_table(upkeep: Upkeep, account: Account) -> None:
+def _apply_table(upkeep: Upkeep, account: Account) -> None:
     account.shortage = Shortage()
     terms = upkeep.writer.read_terms(account.workspace)
     ledger = account.ledger
     if ledger and terms.prepaid < ledger.prepaid:
-        _drop_spare(account)
+        _release_spare(account)
 
 
-def _drop_spare(account: Account) -> None:
-    """Allow no more than what is consumed and held already."""
+def _release_spare(account: Account) -> None:
+    """Lower the limit to the tokens already consumed, held and lent."""
     account.allowance.lower_limit(account.allowance.count_charged())
 
 
 def needs_write(upkeep: Upkeep, account: Account) -> bool:
-    """Tell whether this router should write a budget on nobody's behalf.
+    """Check whether this router should write a budget without a request.
 
-    :param upkeep: what it needs.
+    :param upkeep: shared components.
     :param account: the budget.
     :returns: whether it should.
     """
     if upkeep.board.stopping or not upkeep.writer.may_call_store():
         return False
-    # Who keeps a budget is looked up last: that goes through all routers, and
-    # most budgets are ones that this router hardly draws on.
+    # The owner is looked up last: that goes through all routers, and this
+    # router hardly uses most budgets.
     if not _is_off_target(account, 1 + len(upkeep.board.peers)):
         return False
     return is_owner(upkeep.board, account.workspace)
--- a/src/dykemast/_internal/serving/tokens/budgets.py
+++ b/src/dykemast/_internal/serving/tokens/budgets.py
@@ -1,4 +1,4 @@
-"""Hold tokens of workspaces' budgets for requests."""
+"""Holds on workspaces' budgets for requests."""
 
 from typing import Final
 
@@ -18,8 +18,8 @@
 from dykemast._internal.utils.clock import read_clock
 
 
-#: Tokens of a budget that the least urgent requests leave for others: an
-#: urgent one.
+#: Tokens of a budget that the least urgent requests leave: enough for one
+#: urgent request.
 URGENT_RESERVE_TOKENS: Final = 12_000
 #: First priority of a route that counts as not urgent.
 LATER_PRIORITY: Final = 2
@@ -29,8 +29,8 @@
     """Accounts of the workspaces.
 
     :param board: the blackboard.
-    :param identity: who this router is.
-    :param search: finds tokens where this router has too few.
+    :param identity: this router.
+    :param search: searches for tokens when this router has too few.
     """
 
     def __init__(
@@ -39,16 +39,16 @@
         identity: Identity,
         search: TokenSearch,
     ) -> None:
-        """Open no account yet."""
+        """Create an empty collection of accounts."""
         self._board = board
         self._identity = identity
         self._search = search
         self.accounts: dict[str, Account] = {}
 
     def get_account(self, workspace: str) -> Account:
-        """Find the account of a workspace, or open it.
+        """Get the account of a workspace, or create it.
 
-        :param workspace: its name.
+        :param workspace: name of the workspace.
         :returns: the account.
         """
         account = self.accounts.get(workspace)
@@ -63,13 +63,13 @@
         tokens: int,
         priority: int,
     ) -> Hold:
-        """Set tokens aside for a request.
+        """Reserve tokens for a request.
 
-        :param workspace: who spends.
-        :param tokens: what the request may consume at the most.
-        :param priority: the route's; 0 is the most urgent.
+        :param workspace: workspace that is charged.
+        :param tokens: upper bound of the request's consumption.
+        :param priority: priority of the route; 0 is the most urgent.
         :returns: the hold, to be settled.
-        :raises RefusedError: when there are not as many.
+        :raises RefusedError: if too few tokens are available.
         """
         account = self.get_account(workspace.name)
         account.demand.record(tokens, read_clock())
@@ -95,14 +95,14 @@
         borrower: str,
         spare: int | None,
     ) -> int:
-        """Give spare tokens to another router.
+        """Lend tokens to another router.
 
-        :param workspace: whose budget they are of.
-        :param tokens: how many its requests wait for.
+        :param workspace: workspace of the budget.
+        :param tokens: number of tokens that its requests wait for.
         :param borrower: its instance.
-        :param spare: how many it would keep besides; None when it does not
-            say, as routers of the build before.
-        :returns: how many it gets.
+        :param spare: number of spare tokens requested; None from routers of
+            the previous build, which does not send it.
+        :returns: number of tokens lent.
         """
         account = self.get_account(workspace)
         demand = account.demand.compute_window_average(read_clock())
@@ -116,13 +116,12 @@
         return given
 
     async def take_back(self, workspace: str, tokens: int, giver: str) -> int:
-        """Take tokens that another router does not need any more.
+        """Accept unused tokens that another router returns.
 
-        :param workspace: whose budget they are of.
-        :param tokens: how many it gives.
+        :param workspace: workspace of the budget.
+        :param tokens: number of tokens returned.
         :param giver: its instance.
-        :returns: how many are taken; none by a router that is about to end
-            as well.
+        :returns: number of tokens accepted; 0 if this router stops too.
         """
         if self._board.stopping or tokens < 0:
             return 0
--- a/src/dykemast/_internal/serving/tokens/holds.py
+++ b/src/dykemast/_internal/serving/tokens/holds.py
@@ -1,17 +1,17 @@
-"""Tokens that are set aside for requests, or were not."""
+"""Tokens reserved for requests, and refused reservations."""
 
 import math
 from typing import Final, NamedTuple
 
-#: Before all times of the steady clock.
+#: Earlier than any time of the monotonic clock.
 NEVER: Final = -math.inf
 
 
 class Hold(NamedTuple):
-    """Tokens that are set aside for one request.
+    """Tokens reserved for one request.
 
-    :param workspace: whose budget they are of.
-    :param tokens: how many.
+    :param workspace: workspace of the budget.
+    :param tokens: number of tokens.
     """
 
     workspace: str
@@ -21,8 +21,8 @@
 class Shortage(NamedTuple):
     """A hold that was refused.
 
-    :param tokens: how many were wanted.
-    :param until: seconds on the steady clock until which this is believed.
+    :param tokens: number of tokens requested.
+    :param until: time on the monotonic clock until which this is valid.
     """
 
     tokens: int = 0
--- a/src/dykemast/_internal/serving/tokens/ledger_objects.py
+++ b/src/dykemast/_internal/serving/tokens/ledger_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the store that hold budgets."""
+"""Encoding of budgets as store objects."""
 
 import msgspec
 
@@ -12,10 +12,10 @@
     revision: int,
     ledger: BudgetLedger,
 ) -> StoreObject:
-    """Make the object of a budget.
+    """Encode a budget as a store object.
 
-    :param workspace: whose it is.
-    :param revision: that it has to replace; 0 for none.
+    :param workspace: workspace of the budget.
+    :param revision: revision to be replaced; 0 for a new object.
     :param ledger: the budget.
     :returns: the object.
     """
@@ -23,18 +23,18 @@
 
 
 def decode_ledger(stored: StoreObject) -> BudgetLedger | None:
-    """Read the object of a budget.
+    """Decode the store object of a budget.
 
     :param stored: the object.
-    :returns: the budget; nothing when there is no object.
-    :raises BudgetNotUsableError: when it makes no sense.
+    :returns: the budget; None if there is no object.
+    :raises InvalidBudgetError: if the object is invalid.
     """
     if not stored.revision:
         return None
     try:
         ledger = msgspec.convert(stored.spec, BudgetLedger)
     except msgspec.ValidationError as error:
-        raise InvalidBudgetError(f'the budget: {error}') from error
+        raise InvalidBudgetError(f'invalid budget: {error}') from error
     if not ledger.has_valid_counts():
-        raise InvalidBudgetError('the budget has counts below 0.')
+        raise InvalidBudgetError('invalid budget: a count is below 0')
     return ledger
--- a/src/dykemast/_internal/serving/tokens/ledger_writer.py
+++ b/src/dykemast/_internal/serving/tokens/ledger_writer.py
@@ -17,22 +17,22 @@
 
 _log = make_logger('budgets')
 
-#: Writes of one budget in a row that may meet another router's.
+#: Consecutive write conflicts after which a write is given up.
 MAX_CONFLICTS: Final = 6
-#: Seconds after a failed call in which no other is made: a cut or an outage
-#: lasts seconds, and each call in it is priced and waited for.
+#: Seconds after a failed call in which no other is made: a network partition
+#: or an outage lasts seconds, and each call in it costs money and time.
 AWAY_PAUSE: Final = 0.4
 
 
 class LedgerWriter:
-    """Writes rows, one at a time for each budget.
+    """Writes rows, one at a time per budget.
 
     :param board: the blackboard.
     :param store: the object store.
     """
 
     def __init__(self, board: ServingBoard, store: ObjectStore) -> None:
-        """Expect the store to answer."""
+        """Create a writer that takes the store as available."""
         self._board = board
         self._store = store
         self._failed_at = -AWAY_PAUSE
@@ -40,17 +40,17 @@
         self.is_store_unavailable = False
 
     def may_call_store(self) -> bool:
-        """Tell whether a call makes sense now.
+        """Check whether the store may be called now.
 
-        :returns: False for a while after one has failed.
+        :returns: False for :data:`AWAY_PAUSE` seconds after a failed call.
         """
         return read_clock() > self._failed_at + AWAY_PAUSE
 
     def read_terms(self, workspace: str) -> Terms:
-        """Read what bounds a row now.
+        """Read the current bounds of a row.
 
-        :param workspace: whose budget it is.
-        :returns: the terms.
+        :param workspace: workspace of the budget.
+        :returns: the bounds.
         """
         table = self._board.table
         found = table.workspaces.get(workspace) if table else None
@@ -64,7 +64,7 @@
         """Write the row of one budget; a failure is logged.
 
         :param account: the budget.
-        :param spare: whether to keep any tokens spare.
+        :param spare: whether to keep spare tokens.
         """
         async with account.write_lock:
             await self._write_logged(account, spare=spare)
@@ -75,11 +75,11 @@
         try:
             await self._write(account, spare=spare)
         except ContendedError as error:
-            # Seven routers that start at once meet each other in ten budgets;
-            # to take that for an outage refused callers of all of these.
+            # Seven routers that start together conflict in ten budgets. This
+            # is no outage, as which it would refuse callers of all of them.
             self._note_failure(account, 'budget_contended', error)
         except InvalidBudgetError as error:
-            # No other budget waits for it.
+            # An invalid budget does not affect the others.
             self._note_failure(account, 'budget_not_usable', error)
         except PlatformError as error:
             self._note_failure(account, 'budget_not_written', error)
@@ -95,7 +95,7 @@
         event: str,
         error: PlatformError,
     ) -> None:
-        """Take note that a row was not written though the store answers."""
+        """Record that a row was not written although the store answered."""
         account.record_stored(None)
         self.is_store_unavailable = False
         _log(event, workspace=account.workspace, reason=str(error))
@@ -107,7 +107,7 @@
                     await self._store.read(BUDGET_KIND, account.workspace)
                 )
             terms = self.read_terms(account.workspace)
-            # What a stopping router kept spare would be charged to its end.
+            # Spare tokens of a stopping router would be charged in full.
             keep = spare and not self._board.stopping
             planned = account.plan(terms, spare=keep)
             try:
@@ -117,14 +117,14 @@
             else:
                 account.apply_written(written)
                 return
-        raise ContendedError(f'{MAX_CONFLICTS} conflicts in a row')
+        raise ContendedError(f'{MAX_CONFLICTS} consecutive write conflicts')
 
 
 def describe_account(account: Account) -> dict[str, Any]:
-    """Describe a budget for the log.
+    """Build the log fields of a budget.
 
     :param account: the budget.
-    :returns: what is known of it, and of which revision.
+    :returns: its cached state and revision.
     """
     ledger = account.ledger
     allowance = account.allowance
--- a/src/dykemast/_internal/serving/tokens/loans.py
+++ b/src/dykemast/_internal/serving/tokens/loans.py
@@ -1,4 +1,4 @@
-"""Borrow spare tokens of a budget from other routers."""
+"""Loans of a budget's tokens between routers."""
 
 import asyncio
 import collections
@@ -13,7 +13,7 @@
 
 _log = make_logger('loans')
 
-#: Peers asked for spare tokens at once at most.
+#: Peers asked for spare tokens at once.
 MAX_LENDERS: Final = 6
 
 
@@ -24,11 +24,11 @@
 ) -> None:
     """Ask peers for the tokens that requests wait for.
 
-    All are asked at once, since one may be slow or cut off; what comes in
-    excess is of use to the next requests here.
+    Peers are asked concurrently, since one may be slow or unreachable; excess
+    tokens serve the next requests here.
 
     :param gossip: calls peers.
-    :param peers: those that answer.
+    :param peers: cards of the live peers.
     :param account: the budget.
     """
     lenders = choose_lenders(peers, account)
@@ -41,13 +41,12 @@
 
 
 def choose_lenders(peers: list[PeerCard], account: Account) -> list[PeerCard]:
-    """Choose peers that may have spare tokens, the richest first.
+    """Choose peers that may have spare tokens, those with most first.
 
     These are routers with rows of their own, and those that this one lent
-    tokens to. Who keeps a budget since a moment ago knows neither, and asks
-    some at random.
+    tokens to. A new owner of a budget knows neither, so it asks random peers.
 
-    :param peers: those that answer.
+    :param peers: cards of the live peers.
     :param account: the budget.
     :returns: their cards.
     """
@@ -66,14 +65,14 @@
     account: Account,
     tokens: int,
 ) -> None:
-    """Give a peer tokens that this router does not need any more.
+    """Return unused tokens to a peer.
 
     :param gossip: calls peers.
     :param card: the peer.
     :param account: the budget.
-    :param tokens: how many.
+    :param tokens: number of tokens.
     """
-    # Before the call: they may be spent there while its answer is under way.
+    # Before the call: the peer may spend them before its answer arrives.
     given = account.allowance.lend(tokens)
     if not given:
         return
@@ -81,7 +80,7 @@
     try:
         taken = await gossip.call(card, 'take_back', *words)
     except PeerError as error:
-        # If it took them without an answer, they must not be spent here.
+        # The peer may have accepted them, so they must not be spent here.
         _log('loan_not_returned', peer=card.instance, reason=str(error))
         return
     account.allowance.borrowed += given - taken
@@ -106,8 +105,8 @@
     :param gossip: calls peers.
     :param card: the peer.
     :param account: the budget.
-    :param missing: how many requests wait for.
-    :param spare: how many are wanted besides.
+    :param missing: number of tokens that requests wait for.
+    :param spare: number of spare tokens requested beyond these.
     :returns: whether it answered.
     """
     try:
@@ -120,8 +119,8 @@
             spare,
         )
     except PeerError as error:
-        # If it lent without an answer, the tokens are lost rather than
-        # used twice.
+        # If the peer lent tokens and its answer was lost, the tokens are
+        # lost rather than used twice.
         _log('loan_failed', peer=card.instance, reason=str(error))
         return False
     account.allowance.borrowed += given
--- a/src/dykemast/_internal/serving/tokens/token_search.py
+++ b/src/dykemast/_internal/serving/tokens/token_search.py
@@ -1,4 +1,4 @@
-"""Find tokens for requests that this router has too few for."""
+"""Searches for tokens that requests at this router wait for."""
 
 import asyncio
 import contextlib
@@ -19,14 +19,14 @@
 from dykemast._internal.serving.tokens.token_source import TokenSource
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds that a request waits for tokens: nearly all are had in one write to a
-#: store that is slow; what takes longer is mostly refused, and its caller has
-#: lost more.
+#: Time that a request waits for tokens. One write to a slow store takes less
+#: nearly always; a longer search mostly ends in a refusal, which then costs
+#: the caller more.
 HOLD_TIMEOUT_S: Final = 0.18
-#: Seconds for which a lack of tokens is believed without asking again.
+#: Time for which a shortage is cached.
 SHORTAGE_VALID_S: Final = 0.5
-#: Seconds after which a request refused for lack of tokens may come back:
-#: others end and give back in about 2 s.
+#: Retry-After of a request refused for lack of tokens: others end and free
+#: tokens in about 2 s.
 SHORTAGE_RETRY_AFTER_S: Final = 2.5
 
 
@@ -40,20 +40,20 @@
 
 def _note_shortage(account: Account, tokens: int) -> None:
     if account.is_short_of(tokens):
-        # Fewer were refused a moment ago; that says more.
+        # A smaller hold was refused recently, which covers this one.
         return
     account.shortage = Shortage(tokens, read_clock() + SHORTAGE_VALID_S)
 
 
 class TokenSearch:
-    """Searches, one at a time for each budget.
+    """Searches for tokens, one at a time per budget.
 
-    :param source: finds tokens elsewhere.
-    :param writer: tells whether the store answers.
+    :param source: obtains tokens from peers and the store.
+    :param writer: shows whether the store is available.
     """
 
     def __init__(self, source: TokenSource, writer: LedgerWriter) -> None:
-        """Search for nothing yet."""
+        """Create a search that has not started."""
         self.source = source
         self._writer = writer
 
@@ -63,12 +63,12 @@
         tokens: int,
         reserve: int,
     ) -> None:
-        """Set tokens aside as soon as there are enough.
+        """Reserve tokens as soon as enough are available.
 
         :param account: the budget.
-        :param tokens: how many.
-        :param reserve: how many of the budget to leave for others.
-        :raises RefusedError: when there are not enough in time.
+        :param tokens: number of tokens.
+        :param reserve: tokens of the budget to leave for others.
+        :raises RefusedError: if too few are available in time.
         """
         if account.is_short_of(tokens + reserve):
             raise self._refuse(account, tokens)
@@ -83,11 +83,11 @@
         account: Account,
         work: Coroutine[Any, Any, None],
     ) -> asyncio.Task[Any]:
-        """Start to work on a budget's row, unless that is under way.
+        """Start a task for a budget, unless one is running.
 
         :param account: the budget.
-        :param work: what to do.
-        :returns: the work under way.
+        :param work: coroutine to run; closed if a task is running.
+        :returns: the running task.
         """
         if account.search is None or account.search.done():
             account.search = asyncio.create_task(work)
@@ -96,10 +96,10 @@
         return account.search
 
     async def refill(self, account: Account, tokens: int) -> None:
-        """Look for tokens that a peer wants to borrow.
+        """Search for tokens that a peer requests.
 
-        :param account: the budget, which this router keeps.
-        :param tokens: how many.
+        :param account: the budget, which this router owns.
+        :param tokens: number of tokens.
         """
         if account.is_short_of(tokens):
             return
@@ -116,7 +116,7 @@
         reserve: int,
     ) -> bool:
         limit = read_clock() + HOLD_TIMEOUT_S
-        # The first search may have begun before this request came.
+        # The first search may have started before this request.
         for _ in range(2):
             search = self.start(account, self.source.find(account))
             left = limit - read_clock()
--- a/src/dykemast/_internal/serving/tokens/token_source.py
+++ b/src/dykemast/_internal/serving/tokens/token_source.py
@@ -1,4 +1,4 @@
-"""Where a router finds tokens that it has not: peers and the store."""
+"""Sources of tokens outside of this router: peers and the store."""
 
 from typing import Final
 
@@ -18,21 +18,20 @@
 )
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds of its own demand that a router borrows from a budget's keeper beyond
-#: what it needs: about as long as a cut lasts.
+#: Demand that a router borrows in advance from a budget's owner: about the
+#: duration of a network partition.
 LOAN_DEMAND_S: Final = 9.0
-#: Part of that to which it may fall before more is borrowed ahead.
+#: Share of that below which more is borrowed in advance.
 LOAN_REFILL_SHARE: Final = 0.5
-#: Seconds between two loans of a budget on nobody's behalf, and tokens from
-#: which on one is worth a call.
+#: Interval between loans in advance, and the smallest loan worth a call.
 LOAN_INTERVAL_S: Final = 1.0
 MIN_LOAN_TOKENS: Final = 4000
-#: Seconds longer after one that brought less.
+#: Additional delay after a smaller loan.
 SCARCE_DELAY_S: Final = 3.0
 
 
 def compute_loan_target(account: Account) -> int:
-    """Measure how many tokens a borrower would keep for the next requests.
+    """Compute how many tokens a borrower should have for the next requests.
 
     :param account: the budget.
     :returns: tokens.
@@ -43,11 +42,12 @@
 
 
 def needs_loan(board: ServingBoard, account: Account) -> bool:
-    """Tell whether this router should borrow before it is short.
+    """Check whether this router should borrow before a request is short.
 
-    A cut finds each router with what it has then. Who borrows only when a
-    request is short has half of what it would keep, on average; a workspace
-    whose callers keep to one router is refused there for the rest of the cut.
+    In a network partition a router has only its own tokens. If it borrowed
+    for waiting requests only, it would have half of its target on average,
+    and refuse a workspace whose callers use one router for the rest of the
+    partition.
 
     :param board: the blackboard.
     :param account: the budget.
@@ -66,11 +66,11 @@
 
 
 class TokenSource:
-    """Asks the keeper, the store and peers, in this order.
+    """Obtains tokens from the owner, the store and peers, in this order.
 
     :param board: the blackboard.
     :param writer: writes rows to the store.
-    :param gossip: asks other routers.
+    :param gossip: calls other routers.
     """
 
     def __init__(
@@ -79,41 +79,41 @@
         writer: LedgerWriter,
         gossip: Gossip,
     ) -> None:
-        """Ask nobody yet."""
+        """Create a source; nothing is requested yet."""
         self._board = board
         self._writer = writer
         self._gossip = gossip
 
     async def borrow_ahead(self, account: Account) -> None:
-        """Borrow before a request is short of tokens.
+        """Borrow from the owner before a request is short of tokens.
 
         :param account: the budget.
         """
         account.borrowed_at = read_clock()
         before = account.allowance.count_available()
-        await self._ask_keeper(account)
+        await self._ask_owner(account)
         if account.allowance.count_available() < before + MIN_LOAN_TOKENS:
-            # A budget near its end lends next to nothing; asked each second
-            # by all, its keeper would do little else.
+            # Near the end of a budget loans are almost 0, and the owner would
+            # be busy with the calls of all routers each second.
             account.borrowed_at += SCARCE_DELAY_S
 
     async def return_loans(self, account: Account) -> None:
-        """Give the keeper what no request of this router holds.
+        """Return the tokens that no request holds to the owner.
 
         :param account: the budget.
         """
-        keeper = find_owner(self._board, account.workspace)
-        if is_large_fleet(self._board) and keeper:
+        owner = find_owner(self._board, account.workspace)
+        if is_large_fleet(self._board) and owner:
             room = account.allowance.count_available()
-            await return_tokens(self._gossip, keeper, account, max(0, room))
+            await return_tokens(self._gossip, owner, account, max(0, room))
 
     async def find(self, account: Account) -> None:
-        """Find the tokens that requests wait for, and some to spare.
+        """Obtain the tokens that requests wait for, and spare ones.
 
         :param account: the budget.
         """
-        if is_large_fleet(self._board) and await self._ask_keeper(account):
-            if not self._is_stranded(account):
+        if is_large_fleet(self._board) and await self._ask_owner(account):
+            if not self._must_bypass_owner(account):
                 return
         terms = self._writer.read_terms(account.workspace)
         if self._writer.may_call_store() and account.may_get_tokens(terms):
@@ -122,28 +122,28 @@
             peers = [peer.card for peer in list_live_peers(self._board)]
             await borrow_tokens(self._gossip, peers, account)
 
-    def _is_stranded(self, account: Account) -> bool:
-        """Tell whether tokens are short as their keeper cannot write.
+    def _must_bypass_owner(self, account: Account) -> bool:
+        """Check whether tokens are short because the owner cannot write.
 
-        The store turns single routers away while others reach it; what is
-        left of a budget then must not hang on one of those.
+        The store may reject some routers while others reach it; a budget must
+        not depend on one of the rejected.
         """
         if account.pending <= account.allowance.count_available():
             return False
-        keeper = find_owner(self._board, account.workspace)
-        peer = self._board.peers.get(keeper.instance) if keeper else None
+        owner = find_owner(self._board, account.workspace)
+        peer = self._board.peers.get(owner.instance) if owner else None
         return peer is not None and peer.budget_write_failed
 
-    async def _ask_keeper(self, account: Account) -> bool:
-        """Ask the budget's keeper.
+    async def _ask_owner(self, account: Account) -> bool:
+        """Request tokens from the budget's owner.
 
         :returns: whether it answered.
         """
-        keeper = find_owner(self._board, account.workspace)
-        if keeper is None:
+        owner = find_owner(self._board, account.workspace)
+        if owner is None:
             return False
         left = account.allowance.count_available() - account.pending
         wanted = compute_loan_target(account) - max(0, left)
         return await ask_lender(
-            self._gossip, keeper, account, max(0, -left), max(0, wanted)
+            self._gossip, owner, account, max(0, -left), max(0, wanted)
         )
--- a/src/dykemast/_internal/serving/tokens/upkeep.py
+++ b/src/dykemast/_internal/serving/tokens/upkeep.py
@@ -1,4 +1,4 @@
-"""What a router that starts reads of the budgets."""
+"""First read of the budgets after the start of a router."""
 
 from typing import NamedTuple
 
@@ -19,13 +19,13 @@
 
 
 class Upkeep(NamedTuple):
-    """What the upkeep of budgets needs.
+    """Shared components of the updates of budgets.
 
     :param board: the blackboard.
     :param store: the object store.
     :param budgets: the accounts.
     :param writer: writes rows.
-    :param search: knows which rows are being written.
+    :param search: runs at most one task per budget.
     """
 
     board: ServingBoard
@@ -36,15 +36,14 @@
 
 
 async def read_rows(upkeep: Upkeep) -> None:
-    """Read all budgets, where this router is likely to draw on most of them.
+    """Read all budgets, unless the fleet is large or starts the first time.
 
-    The rows of the process before on this instance are closed when a budget
-    is next written; a write for that alone would bring nobody a token, as
-    such a row is charged in full either way. In a large fleet each router
-    draws on few budgets, and reads them one by one. When all start for the
-    first time there are none.
+    The rows of the previous process on this instance are closed with the next
+    write of a budget. A write for that alone would free no tokens, as such a
+    row is charged in full. In a large fleet each router uses few budgets, and
+    reads them one by one. At the first start there are no budgets.
 
-    :param upkeep: what it needs.
+    :param upkeep: shared components.
     """
     if upkeep.board.settings.first_start:
         return
@@ -54,7 +53,7 @@
     try:
         listing = await upkeep.store.list_kind(BUDGET_KIND)
     except PlatformError as error:
-        # Each is read when it is first written.
+        # Each budget is read before its first write.
         _log('rows_not_read', reason=str(error))
         return
     for stored in listing.found:
--- a/tools/fleet_mutations.py
+++ b/tools/fleet_mutations.py
@@ -150,8 +150,8 @@
         'forget that a smaller request was refused',
         'no search without use',
         f'{_INTERNAL}/serving/tokens/token_search.py',
-        'if account.is_short_of(tokens):\n        # Fewer',
-        'if account.is_short_of(-1):\n        # Fewer',
+        'if account.is_short_of(tokens):\n        # A smaller',
+        'if account.is_short_of(-1):\n        # A smaller',
         'test_token_search',
     ),
     Mutation(
