--- a/tests/lib/lease_steps.py
+++ b/tests/lib/lease_steps.py
@@ -1,10 +1,10 @@
-"""Steps of the lease rules' scenarios."""
+"""Steps of scenarios of the lease rules."""
 
 from tests.lib.lease_world import BUDGET, Router, World
 
 
 def make_world() -> World:
-    """Three routers with demand; the keeper reads as it goes."""
+    """Make three routers with demand; the owner reads the shard regularly."""
     world = World()
     world.top_up('first', 9000)
     for router in world.routers * 3:
@@ -25,9 +25,9 @@
 
 
 def die_and_use_up(world: World) -> int:
-    """Let the first router die, take its lease back, use up what is left.
+    """Kill the first router, reclaim its lease, use up the other tokens.
 
-    :returns: tokens in doubt once its lease was taken back.
+    :returns: tokens that were possibly consumed, after the reclaim.
     """
     world.replace(0, same_instance=True)
     world.reclaim(0)
--- a/tests/lib/lease_world.py
+++ b/tests/lib/lease_world.py
@@ -1,7 +1,7 @@
-"""Small world for the lease rules: routers, one budget shard, one clock.
+"""Simulation of the lease rules: routers, one budget shard, one clock.
 
-Only decision code of the product runs here. The world delivers, loses,
-delays and repeats intents, kills and freezes routers, and remembers the two
+Only decision code of the product runs here. The simulation delivers, loses,
+delays and repeats intents, kills and suspends routers, and records the two
 numbers that the oracle needs: tokens paid and tokens consumed.
 """
 
@@ -48,7 +48,7 @@
 
 
 class Shard:
-    """The budget shard's object, and the keeper that looks after it."""
+    """The object of the budget shard, and its owner."""
 
     def __init__(self) -> None:
         self.budget = Budget()
@@ -65,7 +65,7 @@
 
 
 class World:
-    """Everything, and what the oracle has to know."""
+    """State of the simulation and of the oracle."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -86,8 +86,8 @@
             holder.usage.waiting = tokens
             return False
         holder.usage.waiting = 0
-        # From here on the backend server may consume all of it, whatever
-        # happens to the router.
+        # From here on the backend server may consume all of it, even if the
+        # router dies.
         self.consumed += tokens
         router.work.append(Work(holder, tokens))
         return True
@@ -127,7 +127,7 @@
         router.lease_registry.apply_ack(ack, self.now)
 
     def replace(self, number: int, *, same_instance: bool) -> None:
-        """Kill a router; another takes its place."""
+        """Kill a router and replace it by a new one."""
         old = self.routers[number]
         incarnation = f'{old.incarnation}x'
         instance = old.instance if same_instance else f'{old.instance}x'
@@ -139,7 +139,7 @@
         self.shard.reads.record_read(self.shard.version, self.now)
 
     def reclaim(self, lag: float) -> None:
-        """Look after the shard as its keeper does."""
+        """Reclaim leases as the owner of the shard does."""
         self.read_shard()
         census = KnownProcesses(
             frozenset(
--- a/tests/lib/ledger_world.py
+++ b/tests/lib/ledger_world.py
@@ -1,7 +1,7 @@
-"""Small world for the rows of a budget: routers, one object, late writes.
+"""Simulation of the rows of a budget: routers, one object, late writes.
 
 Only decision code of the product runs here. The oracle knows two numbers:
-tokens paid, and tokens that engines may have consumed.
+tokens paid, and tokens that backend servers may have consumed.
 """
 
 from typing import NamedTuple
@@ -18,14 +18,14 @@
 
 
 class Write(NamedTuple):
-    """A write that may still take effect, if its revision is met."""
+    """A write that may still take effect, if its revision matches."""
 
     revision: int
     ledger: BudgetLedger
 
 
 class Router:
-    """One process of a router; frozen ones keep what they know."""
+    """One process of a router; a suspended one keeps its state."""
 
     def __init__(self, instance: str, number: int) -> None:
         self.identity = Identity(instance, f'{instance}-{number}')
@@ -37,7 +37,7 @@
 
 
 class World:
-    """Store, routers and what the oracle has to know."""
+    """Store, routers and state of the oracle."""
 
     def __init__(self, prepaid: int) -> None:
         self.prepaid = prepaid
@@ -58,7 +58,7 @@
         demand: float = 100,
     ) -> Write:
         allowance = router.allowance
-        # A router that was not told of a change goes by the older version.
+        # A router that did not receive a change uses the older version.
         router.version = router.version or self.version
         planned = plan_ledger(
             router.seen[1],
@@ -90,7 +90,7 @@
     def hold(self, router: Router, tokens: int) -> bool:
         if not router.allowance.take_hold(tokens):
             return False
-        # From here on an engine may consume all of it, come what may.
+        # From here on a backend server may consume all of it in any case.
         self.consumed += tokens
         router.holds.append(tokens)
         return True
--- a/tests/unit/test_first_keepers.py
+++ b/tests/unit/test_budget_owners.py
@@ -1,8 +1,8 @@
-"""Who keeps a budget in the first second after all routers were killed.
+"""Owner of a budget in the first second after all routers were killed.
 
-Then nobody has heard of anybody: each of 87 routers took itself for the keeper
-of each budget, and within half a second 15 of them had written rows of one,
-each with tokens spare that it may never need.
+Then no router has live peers. Guards against each of 87 routers acting as the
+owner of each budget: within half a second 15 of them had written rows of one,
+each with spare tokens that it may never need.
 """
 
 from dykemast._internal.serving.state.board import ServingBoard
@@ -17,7 +17,7 @@
 
 
 def start_all(age: float) -> list[ServingBoard]:
-    """Make routers that know the list, have heard of nobody, and are so old."""
+    """Make routers of an age that know the list but have no live peers."""
     boards = make_boards(ROUTERS)
     for board in boards:
         board.started_at -= age
@@ -27,18 +27,18 @@
 
 
 def list_owners(boards: list[ServingBoard]) -> set[str]:
-    """List whom the routers would ask, themselves included."""
+    """List the owners that the routers choose, themselves included."""
     found = [(board, find_owner(board, WORKSPACE)) for board in boards]
     return {
-        keeper.instance if keeper else board.settings.name
-        for board, keeper in found
+        owner.instance if owner else board.settings.name
+        for board, owner in found
     }
 
 
-def test_all_that_have_just_started_agree_on_a_keeper() -> None:
+def test_routers_that_have_just_started_agree_on_an_owner() -> None:
     assert len(list_owners(start_all(age=0))) == 1
 
 
-def test_who_hears_of_nobody_later_on_is_cut_off_and_keeps_all() -> None:
-    # To ask a keeper that cannot be reached would cost each search its time.
+def test_a_router_without_live_peers_owns_all_budgets_later() -> None:
+    # A call to an unreachable owner would use up the time of each search.
     assert len(list_owners(start_all(age=PEER_DISCOVERY_S + 0.1))) == ROUTERS
--- a/tests/unit/test_foreign_rows.py
+++ b/tests/unit/test_foreign_rows.py
@@ -1,8 +1,8 @@
-"""Rows of budgets and entries of routers that make no sense.
+"""Invalid rows of budgets and entries of routers.
 
-A budget that cannot be read must create no token, and neither it nor a router
-listed with a name for a port may cost anything but itself: one such entry
-failed the whole list of routers, and a router that starts waits for it.
+An invalid budget must not create tokens, and one invalid entry, such as a
+router listed with a name for a port, must not affect others: it made the whole
+list of routers fail, which a router that starts waits for.
 """
 
 from typing import Any
@@ -19,7 +19,7 @@
 
 
 class ListedStore:
-    """Lists routers, and takes what is written."""
+    """Lists the given routers, and accepts all writes."""
 
     def __init__(self, found: list[StoreObject]) -> None:
         self.found = found
@@ -46,7 +46,7 @@
         return False
 
 
-def test_a_budget_that_makes_no_sense_is_not_used() -> None:
+def test_an_invalid_budget_is_not_used() -> None:
     assert is_usable(make_ledger())
     assert not is_usable(make_ledger(closed=-400))
     assert not is_usable(make_ledger(closed='0'))
--- a/tests/unit/test_holder.py
+++ b/tests/unit/test_holder.py
@@ -17,21 +17,21 @@
 
 
 def test_renewal_does_not_starve_a_waiting_request() -> None:
-    # Seen in the demo: a renewal that started between the answer and the
-    # waiter's turn armed nothing, so the waiter never found room.
+    # A renewal between the answer and the iteration of the waiting request
+    # armed no tokens, so the request never got a hold.
     holder = make_holder()
     holder.plan_intent(1, 1)
     assert holder.take_hold(300, 1)
 
 
-def test_room_is_what_was_leased() -> None:
+def test_holds_are_bounded_by_the_lease() -> None:
     holder = make_holder()
     assert not holder.take_hold(301, 0)
     assert holder.take_hold(300, 0)
     assert not holder.take_hold(1, 0)
 
 
-def test_closed_lease_gives_no_room() -> None:
+def test_a_closed_lease_allows_no_hold() -> None:
     holder = make_holder()
     assert holder.plan_close(1, 1)
     assert not holder.take_hold(1, 1)
--- a/tests/unit/test_journal_fuzz.py
+++ b/tests/unit/test_journal_fuzz.py
@@ -1,7 +1,7 @@
-"""Billed once and run at most once, whatever is lost, late or doubled.
+"""Requests are billed once and run at most once with any write faults.
 
-The oracle knows how often each key was run, and which entries were
-acknowledged.
+Writes are lost, delayed or duplicated. The oracle records how often each key
+was run, and which entries were acknowledged.
 """
 
 import contextlib
@@ -22,7 +22,7 @@
 )
 from tests.lib.fake_platform import FakePlatform, drive
 
-KEEPERS = st.integers(0, 2)
+OWNERS = st.integers(0, 2)
 KEYS = st.sampled_from(['k1', 'k2', 'k3'])
 FAULT = st.sampled_from(['', 'lose', 'drop', 'late'])
 FAULTS = st.lists(FAULT, max_size=4)
@@ -33,23 +33,23 @@
 
 
 class JournalMachine(RuleBasedStateMachine):
-    """Several writers that all believe they keep the shard."""
+    """Several writers that all act as owner of the shard."""
 
     def __init__(self) -> None:
         super().__init__()
         self.platform = FakePlatform()
-        self.keepers = [self.make_keeper() for _ in range(3)]
+        self.owners = [self.make_owner() for _ in range(3)]
         self.runs = Counter()
         self.attempts = 0
         self.bills = []
         self.stands = []
 
-    def make_keeper(self):
+    def make_owner(self):
         return journal_ledger.JournalShard(self.platform, 'journal/0')
 
-    def commit(self, keeper, entries):
-        """Write as the group commit does; nothing when it gave up."""
-        shard = self.keepers[keeper]
+    def commit(self, owner, entries):
+        """Write as the group commit does; None if all attempts failed."""
+        shard = self.owners[owner]
         for _ in range(TRIES):
             with contextlib.suppress(PlatformError):
                 ledger = LedgerCallbacks(shard.load, shard.merge)
@@ -57,14 +57,14 @@
             drive(shard.load())
         return None
 
-    @rule(keeper=KEEPERS, key=KEYS, faults=FAULTS)
-    def attempt(self, keeper, key, faults) -> None:
-        """Claim a key, and run it if the claim is ours."""
+    @rule(owner=OWNERS, key=KEYS, faults=FAULTS)
+    def attempt(self, owner, key, faults) -> None:
+        """Claim a key, and run it if the claim succeeds."""
         self.attempts += 1
         run = f'run-{self.attempts}'
         claim = Entry(key, EntryKind.claimed, run)
         self.platform.faults.extend(faults)
-        acks = self.commit(keeper, [claim])
+        acks = self.commit(owner, [claim])
         self.platform.faults.clear()
         if acks and acks[0].verdict == Verdict.ours:
             self.runs[key] += 1
@@ -73,19 +73,19 @@
 
     @rule(key=KEYS)
     def run_repeatable(self, key) -> None:
-        """Run without a claim; some other attempt may do so as well."""
+        """Run without a claim; other attempts may do so too."""
         self.attempts += 1
         run = f'run-{self.attempts}'
         self.bills.append(
             Entry(f'r{key}', EntryKind.finished, run, 'b', self.attempts)
         )
 
-    @rule(keeper=KEEPERS, place=st.integers(0, 9), faults=FAULTS)
-    def bill(self, keeper, place, faults) -> None:
-        """Write some bills, also ones written before."""
+    @rule(owner=OWNERS, place=st.integers(0, 9), faults=FAULTS)
+    def bill(self, owner, place, faults) -> None:
+        """Write some bills, including ones written before."""
         bills = self.bills[place : place + 3]
         self.platform.faults.extend(faults)
-        acks = self.commit(keeper, bills) or []
+        acks = self.commit(owner, bills) or []
         self.platform.faults.clear()
         self.stands.extend(ack.entry for ack in acks)
 
@@ -96,9 +96,9 @@
             with contextlib.suppress(VersionConflictError):
                 self.platform.apply(late.pop(place % len(late)))
 
-    @rule(keeper=KEEPERS)
-    def restart(self, keeper) -> None:
-        self.keepers[keeper] = self.make_keeper()
+    @rule(owner=OWNERS)
+    def restart(self, owner) -> None:
+        self.owners[owner] = self.make_owner()
 
     def read_entries(self):
         return [
--- a/tests/unit/test_lease_death.py
+++ b/tests/unit/test_lease_death.py
@@ -1,4 +1,4 @@
-"""What a dead router may have used, step by step."""
+"""Charges for the lease of a dead router, step by step."""
 
 from tests.lib.lease_steps import (
     count_spent,
@@ -25,7 +25,7 @@
     row = find_row(world, cut_off)
     world.now += 31
     assert world.hold_all(cut_off) == row.allotted - count_spent(cut_off)
-    # Who died then cannot be shown to have died soon after its last write.
+    # A death cannot be shown to be within the arming delay any more.
     assert die_and_use_up(world) == row.allotted - row.spent
     assert world.consumed <= world.paid
 
@@ -63,7 +63,7 @@
     world.replace(0, same_instance=False)
     world.now += 29
     world.reclaim(5)
-    # The keeper read an older version 31 s ago: it cannot tell any more.
+    # The owner read an older version 31 s ago, after the arming delay.
     world.now += 31
     world.reclaim(5)
     assert world.shard.budget.rows.get(row.holder) is None
--- a/tests/unit/test_lease_fuzz.py
+++ b/tests/unit/test_lease_fuzz.py
@@ -1,7 +1,8 @@
-"""No overspend, whatever is lost, late, repeated, frozen or killed.
+"""No overspend of leased budgets with any combination of faults.
 
-The oracle knows two numbers: tokens paid, and tokens that the backend
-servers may have consumed.
+Messages are lost, delayed or repeated; routers are suspended or killed. The
+oracle knows two numbers: tokens paid, and tokens that the backend servers may
+have consumed.
 """
 
 from hypothesis import strategies as st
@@ -21,17 +22,17 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Faults in any order, twice and together."""
+    """Faults in any order and combination."""
 
     def __init__(self) -> None:
         super().__init__()
         self.world = World()
-        self.mail = []
+        self.late_intents = []
         self.frozen = set()
 
     @initialize(tokens=st.integers(500, 5000))
     def lease_out(self, tokens) -> None:
-        """Begin with demand at all routers and leases out."""
+        """Start with demand and a lease at each router."""
         self.world.top_up('t0', tokens)
         for router in self.world.routers * 2:
             self.world.start_work(router, 10)
@@ -50,13 +51,13 @@
 
     @rule(number=ROUTERS)
     def use_all(self, number) -> None:
-        """Consume whatever the rules allow."""
+        """Consume all available tokens."""
         if number not in self.frozen:
             self.world.use_all(self.world.routers[number])
 
     @rule(number=ROUTERS)
     def hold_all(self, number) -> None:
-        """Send more and more, with no answer yet."""
+        """Hold all available tokens several times, without responses."""
         for _ in range(3 * (number not in self.frozen)):
             self.world.hold_all(self.world.routers[number])
 
@@ -67,7 +68,7 @@
 
     @rule(seconds=st.sampled_from([1, 5]))
     def live(self, seconds) -> None:
-        """Ordinary life: the keeper reads, everybody renews."""
+        """Operate without faults: the owner reads, all routers renew."""
         for _ in range(3):
             self.world.read_shard()
             for number in sorted({0, 1, 2} - self.frozen):
@@ -87,17 +88,19 @@
 
     @rule(number=ROUTERS)
     def post(self, number) -> None:
-        """Send intents that arrive late, or never."""
+        """Send intents that arrive late or never."""
         if number not in self.frozen:
-            self.mail.extend(self.world.plan(self.world.routers[number]))
+            self.late_intents.extend(
+                self.world.plan(self.world.routers[number])
+            )
 
     @rule(place=st.integers(0, 20), twice=st.booleans())
     def deliver(self, place, twice) -> None:
-        if self.mail:
-            place %= len(self.mail)
-            self.world.shard.apply(self.mail[place])
+        if self.late_intents:
+            place %= len(self.late_intents)
+            self.world.shard.apply(self.late_intents[place])
             if not twice:
-                self.mail.pop(place)
+                self.late_intents.pop(place)
 
     @rule(number=ROUTERS, same=st.booleans(), wait=WAITS)
     def kill(self, number, same, wait) -> None:
@@ -133,7 +136,7 @@
         self.world.reclaim(lag)
 
     def teardown(self) -> None:
-        """Consume to the last token: what was leased twice shows now."""
+        """Consume all tokens, to detect those that were leased twice."""
         for _ in range(4):
             self.use_everything(31)
             self.is_never_overspent()
--- a/tests/unit/test_lease_messages.py
+++ b/tests/unit/test_lease_messages.py
@@ -1,4 +1,4 @@
-"""Messages that are late, lost or repeated, step by step."""
+"""Delayed, lost or repeated lease messages, step by step."""
 
 from tests.lib.lease_steps import (
     count_committed,
@@ -31,7 +31,7 @@
 def test_a_return_without_answer_binds_the_holder() -> None:
     world = make_world()
     giving = world.routers[0]
-    # The others get much more demand, so this one has too much now.
+    # The demand of the others rises, so this router has a surplus.
     raise_demand(world)
     world.now += 2
     world.renew(giving)
@@ -41,7 +41,7 @@
     kept = find_row(world, giving).allotted
     assert kept < before
     world.renew(world.routers[1])
-    # Cut off now, it may use what it kept and not what it gave back.
+    # Cut off now, it may use the tokens it kept, not those it returned.
     world.now += 60
     world.hold_all(giving)
     assert count_committed(giving) <= kept
--- a/tests/unit/test_lease_renewals.py
+++ b/tests/unit/test_lease_renewals.py
@@ -1,4 +1,4 @@
-"""Renewals of a shard's leases, one after the other."""
+"""Order of the renewals of a shard's leases."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 from dykemast._internal.utils.clock import read_clock
 
 
-class SlowKeepers:
-    """A way to the shard on which the first batch takes a while."""
+class SlowOwners:
+    """Access to the shard on which the first batch is delayed."""
 
     def __init__(self) -> None:
         self.written: list[bool] = []
@@ -35,17 +35,17 @@
 async def renew_and_close() -> list[bool]:
     lease_registry = LeaseRegistry(Identity('router-0', 'first'))
     lease_registry.get_holder('shop/main', LeaseTerms(), read_clock())
-    keepers = SlowKeepers()
-    renewer = LeaseRenewer(lease_registry, keepers, 'shard', bool)
+    owners = SlowOwners()
+    renewer = LeaseRenewer(lease_registry, owners, 'shard', bool)
     renewing = asyncio.create_task(renewer.renew())
     await asyncio.sleep(0.01)
     lease_registry.close_all(read_clock(), 0)
     await renewer.renew()
     await renewing
-    return keepers.written
+    return owners.written
 
 
 def test_a_closing_comes_after_the_renewal_under_way() -> None:
-    # The other way round, the first intent of a lease opens its row after
-    # the closing found none, and nobody gives it back.
+    # In the other order the first intent of a lease would open its row after
+    # the closing intent found none, and the row would never be closed.
     assert asyncio.run(renew_and_close()) == [False, True]
--- a/tests/unit/test_ledger_fuzz.py
+++ b/tests/unit/test_ledger_fuzz.py
@@ -1,7 +1,7 @@
-"""No overspend of a budget on the users' platform, whatever happens.
+"""No overspend of a budget in the object store with any faults.
 
-Writes are lost, late and in any order; routers are frozen, killed and
-started again, lend to each other, and learn late of a changed budget.
+Writes are lost, delayed and reordered; routers are suspended, killed and
+restarted, lend to each other, and learn late of a changed budget.
 """
 
 from hypothesis import strategies as st
@@ -22,7 +22,7 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Faults in any order, twice and together."""
+    """Faults in any order and combination."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -38,7 +38,7 @@
 
     @rule(number=ROUTERS)
     def hold_all(self, number) -> None:
-        """Consume whatever the rules allow."""
+        """Hold all available tokens."""
         router = self.world.routers[number]
         self.world.hold(router, max(0, router.allowance.count_available()))
 
@@ -52,7 +52,7 @@
 
     @rule(number=ROUTERS, pending=TOKENS, spare=st.booleans(), demand=DEMAND)
     def write(self, number, pending, spare, demand) -> None:
-        """Write by what was last seen; a conflict shows the object."""
+        """Write based on the last read; a conflict returns the object."""
         router = self.world.routers[number]
         write = self.world.plan(router, pending, spare=spare, demand=demand)
         if self.world.apply(write):
@@ -109,7 +109,7 @@
 
     @invariant()
     def be_able_to_consume_no_more_than_was_paid(self) -> None:
-        # What all could hold at this moment, not only what they happen to.
+        # All tokens that routers could hold now, not only those held.
         possible = self.world.consumed + self.world.count_available()
         assert possible <= self.world.most_prepaid
 
@@ -119,7 +119,7 @@
 
     @invariant()
     def strand_no_more_than_losses_may_cost(self) -> None:
-        # As if all routers died now: what no request held is lost.
+        # If all routers died now, their spare tokens would be lost.
         ledger = self.world.ledger
         if ledger:
             lost = ledger.closed_spare + ledger.count_spare()
@@ -152,7 +152,7 @@
     assert list(world.ledger.rows) == ['i0-1']
 
 
-def test_what_is_given_back_is_free_for_others() -> None:
+def test_returned_tokens_are_free_for_others() -> None:
     world = World(1000)
     first, second = world.routers[:2]
     assert world.apply(world.plan(first, 900, spare=True))
@@ -181,11 +181,10 @@
 
 
 def test_deaths_of_all_routers_strand_a_bounded_part_of_a_budget() -> None:
-    # After three losses of power of all routers, 36 of 180 requests were
-    # served, all of them without tokens: 97 % of the prepaid was charged for
-    # ended processes, 65 % of it consumed by nobody. Each loss took what the
-    # routers kept spare, about a fifth of the budget, and the next processes
-    # kept as much again.
+    # After three power losses of all routers, 36 of 180 requests were served:
+    # 97 % of the prepaid tokens were charged for ended processes, 65 % of them
+    # not consumed. Each loss took the spare tokens of all routers, about a
+    # fifth of the budget, and the next processes kept as many again.
     world = World(10_000)
     for _ in range(6):
         for number in range(3):
--- a/tests/unit/test_ledger_writer.py
+++ b/tests/unit/test_ledger_writer.py
@@ -1,4 +1,4 @@
-"""Writes of one budget's row that overlap."""
+"""Concurrent writes of one budget's row."""
 
 import asyncio
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 class ContendedStore:
-    """One object, which somebody else writes before each write."""
+    """One object; each write conflicts with another router's."""
 
     def __init__(self) -> None:
         self.stored = StoreObject('w', 0, {})
@@ -51,8 +51,8 @@
 
 
 async def test_tokens_go_back_though_a_budget_is_opened_meanwhile() -> None:
-    # The return of tokens died of a budget that a late request opened while
-    # the first rows were written; 150,664 spare tokens were never given back.
+    # Returning tokens failed when a late request added an account while the
+    # first rows were written; 150,664 spare tokens were never returned.
     store, board = LateStore(), make_board()
     writer = LedgerWriter(board, store)
     budgets = Budgets(board, Identity('node-0', 'node-0/1'), None)
@@ -66,10 +66,10 @@
     assert await returning
 
 
-async def test_a_late_answer_does_not_bring_given_tokens_back() -> None:
-    # A search's write took effect and its answer was late; the router gave its
-    # tokens back meanwhile, then took the late answer for its row: it lent
-    # 4,000 tokens that the store had free for others.
+async def test_a_late_answer_does_not_restore_returned_tokens() -> None:
+    # A router returned its tokens while the answer to an earlier write was
+    # late, then took that answer for its current row: it lent 4,000 tokens
+    # that the store had as free for others.
     store = LateStore()
     writer = LedgerWriter(make_board(), store)
     writer.read_terms = lambda _: Terms(1, 10_000, 2)
@@ -86,18 +86,18 @@
 
 
 async def test_a_contended_budget_is_no_outage() -> None:
-    # All routers started again at once, each conflicted six times in a row in
-    # one budget, and refused callers of all budgets as if the store were away,
-    # with when to come back in 4 s; it had answered each call.
+    # Routers restarted together had six consecutive conflicts in one budget
+    # each, and refused callers of all budgets with a Retry-After of 4 s as if
+    # the store were unavailable, although it had answered each call.
     writer = LedgerWriter(make_board(), ContendedStore())
     await writer.write(Account('w', Identity('node-0', 'node-0/1')))
     assert not writer.is_store_unavailable
     assert writer.may_call_store()
 
 
-async def test_a_contended_budget_is_not_given_back() -> None:
-    # A router that stopped while others wrote took the last conflict for the
-    # confirmation, and would have left its spare tokens to be charged in full.
+async def test_a_contended_budget_does_not_count_as_returned() -> None:
+    # A stopping router took the last conflict for a confirmation, so its spare
+    # tokens would have been charged in full.
     store, board = ContendedStore(), make_board()
     writer = LedgerWriter(board, store)
     budgets = Budgets(board, Identity('node-0', 'node-0/1'), None)
--- a/tests/unit/test_loans.py
+++ b/tests/unit/test_loans.py
@@ -1,4 +1,4 @@
-"""Tokens of a budget that routers of a large fleet lend each other."""
+"""Loans of a budget's tokens between the routers of a large fleet."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
     return Account('joinville', Identity(name, f'{name}/1'))
 
 
-def test_a_keeper_asks_those_first_that_it_lent_most() -> None:
+def test_an_owner_asks_those_first_that_it_lent_most() -> None:
     peers = [board.make_card() for board in make_boards(30)[1:]]
     account = make_account()
     record_loan(account, 'node-7', 5000)
@@ -57,7 +57,7 @@
     assert account.may_get_tokens(terms)
 
 
-def test_a_borrower_gives_back_what_no_request_holds() -> None:
+def test_a_borrower_returns_what_no_request_holds() -> None:
     boards = make_boards(87)
     kept = find_owned_elsewhere(boards[0])
     budgets = Budgets(boards[0], Identity('node-0', 'node-0/1'), search=None)
@@ -67,13 +67,13 @@
     given = asyncio.run(budgets.lend(kept, 5000, 'node-9', 0))
     assert given == 2000
     assert account.net_lent == {'node-9': 2000}
-    # It is not the keeper: what the keeper wants is no demand of its own.
+    # Requests of the owner do not count as demand of the borrower.
     assert account.demand.compute_rate(read_clock()) == 0
 
 
 def test_a_borrower_of_the_build_before_gets_what_it_asks_for() -> None:
-    # It says nothing of what it would keep besides: while both builds run, each
-    # such loan failed at the lender.
+    # The previous build does not send a number of spare tokens: while both
+    # builds ran, each such loan failed at the lender.
     boards = make_boards(87)
     kept = find_owned_elsewhere(boards[0])
     budgets = Budgets(boards[0], Identity('node-0', 'node-0/1'), search=None)
@@ -82,13 +82,14 @@
 
 
 def lend_to_all(ledger: BudgetLedger) -> int:
-    """Sum what 87 routers get that want 9 s of 100 tokens a second each."""
+    """Sum the loans to 87 routers that request 9 s of 100 tokens per second."""
     loans = (compute_loan(ledger, 900, 8700) for _ in range(87))
     return sum(loans)
 
 
 def test_loans_to_all_routers_stay_within_what_losses_may_cost() -> None:
-    # A keeper lent 1.4 of 1.9 million tokens within 8 s; all was lost with it.
+    # An owner lent 1.4 of 1.9 million tokens within 8 s, which were all lost
+    # when the routers died.
     ledger = BudgetLedger(1, 300_000, {})
     assert 0 < lend_to_all(ledger) <= LOSS_SHARE * 300_000
     assert lend_to_all(ledger._replace(prepaid=3_000_000)) == 87 * 900
@@ -102,11 +103,11 @@
     assert lend_to_all(whole._replace(closed=300_000)) == 0
     lost = int(LOSS_SHARE * whole.prepaid)
     assert lend_to_all(whole._replace(closed_spare=lost)) == 0
-    # Somebody who knows nothing of the budget has nothing to weigh.
+    # Without a known budget the loan is not reduced.
     assert compute_loan(None, 500, 0) == 500
 
 
 def find_owned_elsewhere(board: ServingBoard) -> str:
-    """Find a workspace whose budget another router keeps."""
+    """Find a workspace whose budget another router owns."""
     names = (f'shop-{number}' for number in range(9))
     return next(name for name in names if find_owner(board, name))
--- a/tests/unit/test_loans_ahead.py
+++ b/tests/unit/test_loans_ahead.py
@@ -1,4 +1,4 @@
-"""Tokens are borrowed before a router is cut off."""
+"""Loans in advance, so that a router has tokens in a network partition."""
 
 import asyncio
 from typing import Any
@@ -24,7 +24,7 @@
 
 
 def make_spending_account(board: ServingBoard, rate: float) -> Account:
-    """Make the account of a budget that another router keeps."""
+    """Make the account of a budget that another router owns."""
     account = Account(
         find_owned_elsewhere(board), Identity('node-0', 'node-0/1')
     )
@@ -33,9 +33,9 @@
     return account
 
 
-def test_who_has_half_of_its_reserve_borrows_before_it_is_short() -> None:
-    # Callers of one workspace keep to one router; a cut found it with what was
-    # left of its last loan, and it refused them for the rest of the cut.
+def test_a_router_below_half_of_its_target_borrows_in_advance() -> None:
+    # Callers of a workspace used one router, which had only the rest of its
+    # last loan in a network partition and refused them until its end.
     board = make_boards(30)[0]
     account = make_spending_account(board, 1000)
     reserve = compute_loan_target(account)
@@ -53,9 +53,9 @@
 
 
 def test_single_requests_at_many_routers_reserve_what_they_come_to() -> None:
-    # A rate that was guessed from one request each came to 2.5 times what there
-    # is: 1.4 of 1.9 million tokens of a budget were lent after 8 s, and were
-    # lost when all routers were killed: worth 0.128 that day, and 0.252 after.
+    # Rates estimated from one request each sum to 2.5 times the actual demand:
+    # 1.4 of 1.9 million tokens of a budget were lent after 8 s, and lost when
+    # all routers were killed (score 0.128, and 0.252 with the average).
     now = read_clock()
     reserved = 0
     for number in range(ROUTERS):
@@ -66,8 +66,8 @@
     assert reserved < LOAN_DEMAND_S * rate
 
 
-class Keeper:
-    """Lends a given number of tokens, and counts who asks."""
+class Owner:
+    """Lends a given number of tokens."""
 
     def __init__(self, lends: int) -> None:
         self._lends = lends
@@ -76,16 +76,16 @@
         return self._lends
 
 
-def is_put_off(lends: int) -> bool:
-    """Tell whether the next loan ahead waits for longer after one of a size."""
+def is_next_loan_delayed(lends: int) -> bool:
+    """Check whether a loan of this size delays the next one in advance."""
     board = make_boards(30)[0]
     account = make_spending_account(board, 1000)
-    source = TokenSource(board, writer=None, gossip=Keeper(lends))
+    source = TokenSource(board, writer=None, gossip=Owner(lends))
     asyncio.run(source.borrow_ahead(account))
     return account.borrowed_at > read_clock()
 
 
 def test_a_budget_near_its_end_is_not_asked_for_each_second() -> None:
-    assert is_put_off(lends=0)
-    assert is_put_off(lends=100)
-    assert not is_put_off(lends=9000)
+    assert is_next_loan_delayed(lends=0)
+    assert is_next_loan_delayed(lends=100)
+    assert not is_next_loan_delayed(lends=9000)
--- a/tests/unit/test_cuts.py
+++ b/tests/unit/test_network_partitions.py
@@ -1,9 +1,10 @@
-"""Routers that are cut off from the store and from each other.
+"""Service during a network partition that isolates every router.
 
-After 5.6 s of a day every router was alone for 8.6 s. 340 requests were refused
-for lack of tokens, some with 472,439 of 481,992 tokens free in the budget and
-1,320 at the router: routers kept 4 s of a demand that they took for a third to
-a half of what it was, since nothing had come before the first request.
+Guards against refusals for lack of tokens while the budget is nearly unused:
+340 requests were refused in a partition from 5.6 s after the start that lasted
+8.6 s, some with 472,439 of 481,992 tokens free and 1,320 at the router. Routers
+kept spare tokens for 4 s of a demand that was underestimated at a third to a
+half, since the time before the first request counted as idle.
 """
 
 import itertools
@@ -26,11 +27,11 @@
 
 ROUTERS = 7
 PREPAID = 948_386
-#: Seconds between two requests at one router, and tokens of each in turn: one
+#: Interval between requests at one router, and tokens of each in turn: one
 #: long prompt among seven short ones.
-EVERY = 0.9
+REQUEST_INTERVAL_S = 0.9
 SIZES = (1100, 1100, 9500, 1100, 1100, 1100, 1100, 1100)
-CUT_AT, CUT_END = 5.6, 14.2
+PARTITION_START_S, PARTITION_END_S = 5.6, 14.2
 OWN = Identity('node-0', 'node-0/1')
 
 
@@ -71,15 +72,15 @@
 
 
 class Served(NamedTuple):
-    """Requests in the cut."""
+    """Counts of requests during the partition."""
 
     asked: int
     served: int
 
 
 def list_requests() -> list[Arrival]:
-    """List the requests until the end of the cut, evenly over the routers."""
-    turns = range(int(CUT_END / EVERY))
+    """List all requests until the end of the partition, evenly distributed."""
+    turns = range(int(PARTITION_END_S / REQUEST_INTERVAL_S))
     return list(
         itertools.starmap(
             make_arrival, itertools.product(turns, range(ROUTERS))
@@ -89,12 +90,14 @@
 
 def make_arrival(turn: int, number: int) -> Arrival:
     """Make one request."""
-    at = (turn + number / ROUTERS) * EVERY
+    at = (turn + number / ROUTERS) * REQUEST_INTERVAL_S
     return Arrival(at, number, SIZES[(turn + number) % len(SIZES)])
 
 
-def use_before(routers: list[Router], arrivals: list[Arrival]) -> None:
-    """Use the budget while the store answers."""
+def serve_before_partition(
+    routers: list[Router], arrivals: list[Arrival]
+) -> None:
+    """Use the budget while the store is available."""
     ledger = None
     for at, number, tokens in arrivals:
         routers[number].demand.record(tokens, at)
@@ -102,19 +105,21 @@
         ledger = routers[number].write(ledger, at)
 
 
-def play_cut() -> Served:
-    """Play the load until the end of the cut."""
+def simulate_partition() -> Served:
+    """Simulate the load until the end of the partition."""
     routers = [Router(number) for number in range(ROUTERS)]
     arrivals = list_requests()
-    use_before(routers, [one for one in arrivals if one.at < CUT_AT])
-    later = [one for one in arrivals if one.at >= CUT_AT]
+    serve_before_partition(
+        routers, [one for one in arrivals if one.at < PARTITION_START_S]
+    )
+    later = [one for one in arrivals if one.at >= PARTITION_START_S]
     served = sum(routers[one.router].serve(one) for one in later)
     return Served(len(later), served)
 
 
-def test_callers_are_served_in_a_cut_while_the_budget_is_nearly_whole() -> None:
-    # 37 of 61 on the code before.
-    played = play_cut()
+def test_callers_are_served_in_a_partition_while_the_budget_lasts() -> None:
+    # 37 of 61 were served when the demand was underestimated.
+    played = simulate_partition()
     assert played.asked > 60
     assert played.served > 0.9 * played.asked
 
@@ -124,7 +129,7 @@
     for second in range(5):
         demand.record(1000, second)
     assert 800 < demand.compute_rate(5) < 1200
-    # One large request is not yet a rate.
+    # A single large request is not a rate.
     alone = Demand()
     alone.record(10_000, 0)
     assert alone.compute_rate(0) < 3500
@@ -132,7 +137,7 @@
 
 
 def make_ledger(*spare: int) -> BudgetLedger:
-    """Make a budget whose other routers keep some tokens spare."""
+    """Make a budget whose other routers have the given spare tokens."""
     rows = {OWN.incarnation: LedgerRow(OWN.instance, 500, 500, 500, 100)}
     for number, tokens in enumerate(spare, 1):
         name = f'node-{number}'
@@ -141,7 +146,7 @@
 
 
 def test_callers_return_at_once_where_others_have_tokens() -> None:
-    # All were told to come back in 4 s, when an answer earns a third.
+    # A Retry-After of 4 s for all is too long: a response then counts a third.
     rich = make_ledger(9000, 9000, 9000)
     assert compute_retry_after(rich, OWN, 1000, 1) == OTHER_ROUTER_RETRY_S
     assert compute_retry_after(None, OWN, 1000, 1) == OTHER_ROUTER_RETRY_S
@@ -152,6 +157,6 @@
     assert compute_retry_after(poor, OWN, 1000, 0) == OUTAGE_RETRY_S
     one_of_four = make_ledger(9000, 0, 0, 0)
     assert compute_retry_after(one_of_four, OWN, 1000, 0) == OUTAGE_RETRY_S
-    # What the others had when the cut began they have used since.
+    # The others have used their spare tokens since the budget was read.
     rich = make_ledger(9000, 9000, 9000)
     assert compute_retry_after(rich, OWN, 1000, 85) == OUTAGE_RETRY_S
--- a/tests/unit/test_reserves.py
+++ b/tests/unit/test_reserves.py
@@ -19,7 +19,7 @@
 
 
 class NoSearch:
-    """Finds no tokens, and keeps how many were asked for."""
+    """Finds no tokens, and records how many were requested."""
 
     def __init__(self) -> None:
         self.pending = 0
@@ -35,7 +35,7 @@
 
 
 def hold_late_request(unused: int | None, room: int) -> tuple[bool, int]:
-    """Tell whether one of the least urgent requests gets a hold."""
+    """Check whether one of the least urgent requests gets a hold."""
     source = NoSearch()
     budgets = make_budgets(source)
     account = budgets.get_account('joinville')
@@ -57,5 +57,5 @@
 
 
 def test_no_router_asks_for_a_reserve_of_its_own() -> None:
-    # Kept at each router it was most of a small budget, and lost with them.
+    # A reserve at each router was most of a small budget, and lost with them.
     assert hold_late_request(1_000_000, room=0) == (False, 1000)
--- a/tests/unit/test_returned_loans.py
+++ b/tests/unit/test_returned_loans.py
@@ -1,8 +1,8 @@
-"""What a router of a large fleet borrowed goes back when it stops.
+"""A router of a large fleet returns borrowed tokens when it stops.
 
-It keeps some seconds of demand of each budget that it spends from, nearly all
-of it borrowed. A planned stop gave back what its own rows allowed, which is
-nothing: each roll of a fleet lost what all its routers had borrowed, for good.
+It has tokens for some seconds of demand of each budget that it uses, nearly
+all of them borrowed. A planned stop returned only tokens of the router's own
+rows, so each rolling restart lost all borrowed tokens.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 class Peers:
-    """Notes what peers are called for, and takes all that is returned."""
+    """Records the calls of peers, and accepts all returned tokens."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[Any, ...]] = []
@@ -45,13 +45,13 @@
 
 
 class Stopping:
-    """A router that stops, with a budget that another one keeps."""
+    """A stopping router with a budget that another one owns."""
 
     def __init__(self) -> None:
         board = make_boards(30)[0]
         board.stopping = True
         workspace = test_loans.find_owned_elsewhere(board)
-        self.keeper = find_owner(board, workspace)
+        self.owner = find_owner(board, workspace)
         self.peers = Peers()
         self.store = test_ledger_writer.LateStore()
         self.upkeep = make_upkeep(board, self.store, self.peers)
@@ -64,14 +64,14 @@
     router = Stopping()
     assert asyncio.run(return_spare(router.upkeep))
     returned = [call for call in router.peers.calls if call[1] == 'take_back']
-    expected = (router.keeper.instance, 'take_back', router.account.workspace)
+    expected = (router.owner.instance, 'take_back', router.account.workspace)
     assert [call[:3] for call in returned] == [expected]
     assert returned[0][3] == BORROWED - SPENT
     assert router.account.allowance.count_available() <= 0
 
 
 def test_a_router_that_never_wrote_a_row_writes_none_to_stop() -> None:
-    # 87 routers and 24 budgets would make 2,088 calls in a roll of all.
+    # 87 routers and 24 budgets would make 2,088 calls in a rolling restart.
     router = Stopping()
     assert asyncio.run(return_spare(router.upkeep))
     assert not router.store.stored.revision
--- a/tests/unit/test_stranded_budgets.py
+++ b/tests/unit/test_stranded_budgets.py
@@ -1,8 +1,8 @@
-"""A budget does not hang on the one router that keeps it.
+"""A budget does not depend on its owner alone.
 
-The store turned 30 of 87 routers away while the others reached it. Budgets that
-a fifth was consumed of refused their callers, as their keepers were among them
-and nobody else asked the store: 1,057 of 6,113 requests in 16 s.
+The store rejected 30 of 87 routers while the others reached it. Callers of
+budgets that were a fifth consumed were refused, since the owners were among
+the 30 and no other router called the store: 1,057 of 6,113 requests in 16 s.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 class Writer:
-    """Writes rows; the store gives what is wanted."""
+    """Writes rows; the store grants all tokens requested."""
 
     def __init__(self) -> None:
         self.written = 0
@@ -37,7 +37,7 @@
 
 
 class Gossip:
-    """Calls peers, whose keeper lends a given number of tokens."""
+    """Calls the owner, which lends a given number of tokens."""
 
     def __init__(self, lends: int) -> None:
         self._lends = lends
@@ -54,28 +54,28 @@
     return account
 
 
-def search(lends: int, *, keeper_away: bool) -> tuple[int, int]:
-    """Tell how many tokens were found, in how many writes."""
+def search(lends: int, *, owner_unavailable: bool) -> tuple[int, int]:
+    """Return the number of tokens found, and of writes for it."""
     board = make_boards(ROUTERS)[0]
     account = find_owned_elsewhere(board)
-    keeper = find_owner(board, account.workspace)
-    board.peers[keeper.instance].budget_write_failed = keeper_away
+    owner = find_owner(board, account.workspace)
+    board.peers[owner.instance].budget_write_failed = owner_unavailable
     writer = Writer()
     source = TokenSource(board, writer, Gossip(lends))
     asyncio.run(source.find(account))
     return account.allowance.count_available(), writer.written
 
 
-def test_who_gets_too_little_of_a_keeper_without_store_asks_the_store() -> None:
-    room, written = search(WANTED // 2, keeper_away=True)
+def test_a_router_bypasses_an_owner_that_cannot_write() -> None:
+    room, written = search(WANTED // 2, owner_unavailable=True)
     assert room >= WANTED
     assert written == 1
 
 
-def test_a_keeper_that_reaches_the_store_is_believed() -> None:
-    # Else each router would ask the store for each budget that is at its end.
-    assert search(0, keeper_away=False) == (0, 0)
+def test_an_owner_that_reaches_the_store_is_not_bypassed() -> None:
+    # Otherwise each router would call the store for each exhausted budget.
+    assert search(0, owner_unavailable=False) == (0, 0)
 
 
-def test_nobody_asks_the_store_for_what_the_keeper_lent() -> None:
-    assert search(WANTED, keeper_away=True) == (WANTED, 0)
+def test_a_loan_of_the_owner_needs_no_write() -> None:
+    assert search(WANTED, owner_unavailable=True) == (WANTED, 0)
--- a/tests/unit/test_stream_usage.py
+++ b/tests/unit/test_stream_usage.py
@@ -1,4 +1,4 @@
-"""Tokens that a streamed answer has consumed, and may consume."""
+"""Tokens that a streamed response has consumed and may consume."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -6,7 +6,7 @@
 from dykemast._internal.operations.stream_usage import StreamUsage
 
 PROMPT, OUTPUT, PER_EVENT = 1000, 300, 3
-#: Events that the most tokens to come out make.
+#: Events of a response with the maximum of output tokens.
 MOST_EVENTS = OUTPUT // PER_EVENT
 
 
@@ -24,7 +24,7 @@
 
 
 def test_what_an_engine_makes_unseen_is_charged() -> None:
-    # Two events were charged beyond the ten that had been read.
+    # Only two events beyond the ten received were charged.
     usage = make_usage()
     usage.record_read(10)
     usage.record_broken_stream()
@@ -35,8 +35,8 @@
 def test_no_engine_makes_more_than_is_held_and_charged(
     breaks: list[int],
 ) -> None:
-    # Each engine begins after the last event that was read, and may go on to
-    # the end of the answer although the router reads no more of it.
+    # Each backend server starts after the last event received, and may
+    # generate the whole rest although the router receives no more of it.
     usage = make_usage()
     made = 0
     read = 0
--- a/tests/unit/test_token_search.py
+++ b/tests/unit/test_token_search.py
@@ -1,4 +1,4 @@
-"""How long a request waits for tokens."""
+"""Time that a request waits for tokens."""
 
 import asyncio
 
@@ -10,12 +10,12 @@
 )
 from dykemast._internal.serving.tokens.token_search import TokenSearch
 
-#: Seconds after which the test counts as hung; no promise.
-GUARD = 20
+#: Time after which the test counts as hung; not a bound of the router.
+HANG_TIMEOUT_S = 20
 
 
 class SlowSource:
-    """Finds tokens long after everybody has lost patience."""
+    """Finds tokens long after all requests have timed out."""
 
     def __init__(self) -> None:
         self.searches = 0
@@ -23,11 +23,11 @@
     async def find(self, account: Account) -> None:
         """Search; ``account`` does not matter here."""
         self.searches += 1
-        await asyncio.sleep(10 * GUARD)
+        await asyncio.sleep(10 * HANG_TIMEOUT_S)
 
 
 class Writer:
-    """Tells that the store answers."""
+    """Shows the store as available."""
 
     is_store_unavailable = False
 
@@ -37,7 +37,7 @@
         asyncio.create_task(search.wait_for_tokens(account, tokens, 0))
         for tokens in (10, 20)
     ]
-    _, waiting = await asyncio.wait(asks, timeout=GUARD)
+    _, waiting = await asyncio.wait(asks, timeout=HANG_TIMEOUT_S)
     assert not waiting
     refusals = [ask.exception() for ask in asks]
     assert [type(one) for one in refusals] == [RefusedError, RefusedError]
@@ -51,7 +51,7 @@
     assert refusal.retry_after > 0
     assert source.searches == 1, 'one search at a time for a budget'
     assert account.pending == 0
-    # A larger request that is refused afterwards hides no smaller one.
+    # A larger request refused later does not replace the smaller one.
     assert account.is_short_of(10)
     assert account.is_short_of(20)
     assert not account.is_short_of(9)
--- a/tools/hall_mutations.py
+++ b/tools/hall_mutations.py
@@ -120,7 +120,7 @@
         f'{_INTERNAL}/serving/tokens/budget_owners.py',
         'peers = board.peers.values() if young else list_live_peers(board)',
         'peers = list_live_peers(board) if young else list_live_peers(board)',
-        'test_first_keepers',
+        'test_budget_owners',
     ),
     Mutation(
         'leave a budget to a keeper that cannot write',
--- a/tools/load_mutations.py
+++ b/tools/load_mutations.py
@@ -6,7 +6,7 @@
 
 _INTERNAL: Final = 'dykemast/_internal'
 _SERVED: Final = 'callers are served while tokens and engines are there'
-_CUTS: Final = 'test_cuts'
+_PARTITIONS: Final = 'test_network_partitions'
 
 #: Mutations of these rules.
 LOAD_MUTATIONS: Final = (
@@ -32,7 +32,7 @@
         f'{_INTERNAL}/operations/spare_size.py',
         'SPARE_DEMAND_S: Final = 9.0',
         'SPARE_DEMAND_S: Final = 4.0',
-        _CUTS,
+        _PARTITIONS,
     ),
     Mutation(
         'take the time before the first request for one without demand',
@@ -40,7 +40,7 @@
         f'{_INTERNAL}/operations/demand.py',
         'return self._decay(now) / self._window / part',
         'return self._decay(now) / self._window',
-        _CUTS,
+        _PARTITIONS,
     ),
     Mutation(
         'send callers round although all are short',
@@ -48,7 +48,7 @@
         f'{_INTERNAL}/operations/retry_after.py',
         'likely = len(able) > LIKELY_SHARE * len(others)',
         'likely = True',
-        _CUTS,
+        _PARTITIONS,
     ),
     Mutation(
         'take a contended budget for an outage',
