--- a/src/dykemast/_internal/operations/allowance_terms.py
+++ b/src/dykemast/_internal/operations/allowance_terms.py
@@ -27,7 +27,7 @@
     routers: int
 
 
-class Want(NamedTuple):
+class TokenRequest(NamedTuple):
     """Tokens that a row should allow beyond those consumed and held.
 
     :param pending: tokens that requests are waiting for.
--- a/src/dykemast/_internal/operations/journal_merge.py
+++ b/src/dykemast/_internal/operations/journal_merge.py
@@ -105,7 +105,7 @@
     return None
 
 
-def _compare(standing: Entry, entry: Entry, otherwise: Verdict) -> JournalAck:
+def _compare(written: Entry, entry: Entry, otherwise: Verdict) -> JournalAck:
     # A claim that arrives after its own outcome is a delayed copy.
-    same = standing.run == entry.run
-    return JournalAck(Verdict.ours if same else otherwise, standing)
+    same = written.run == entry.run
+    return JournalAck(Verdict.ours if same else otherwise, written)
--- a/src/dykemast/_internal/operations/ledger_rows.py
+++ b/src/dykemast/_internal/operations/ledger_rows.py
@@ -5,7 +5,7 @@
     Identity,
     Terms,
     Usage,
-    Want,
+    TokenRequest,
 )
 from dykemast._internal.operations.spare_size import compute_spare
 
@@ -15,7 +15,7 @@
     identity: Identity,
     usage: Usage,
     terms: Terms,
-    want: Want,
+    request: TokenRequest,
 ) -> BudgetLedger:
     """Compute the next state of a budget with a new row of one router.
 
@@ -23,14 +23,14 @@
     :param identity: the router.
     :param usage: tokens used by the router.
     :param terms: bounds of the row.
-    :param want: tokens that the row should allow beyond the used ones.
+    :param request: tokens that the row should allow beyond those used.
     :returns: the state to write.
     """
     ledger = close_rows(_adopt_terms(ledger, terms), identity)
     free = _count_free(ledger, identity, usage)
-    row = _make_row(identity, usage, min(free, want.pending), want)
+    row = _make_row(identity, usage, min(free, request.pending), request)
     planned = _put_row(ledger, identity, row)
-    if want.spare:
+    if request.spare:
         limit = row.limit + compute_spare(planned, identity, terms.routers)
         row = row._replace(limit=min(limit, usage.charged + free))
     return _put_row(ledger, identity, row)
@@ -71,7 +71,7 @@
     identity: Identity,
     usage: Usage,
     granted: int,
-    want: Want,
+    request: TokenRequest,
 ) -> LedgerRow:
     charged = usage.charged + granted
     return LedgerRow(
@@ -79,7 +79,7 @@
         limit=charged,
         spent=usage.spent,
         charged=charged,
-        demand=round(want.demand, 1),
+        demand=round(request.demand, 1),
     )
 
 
--- a/src/dykemast/_internal/operations/reclaim.py
+++ b/src/dykemast/_internal/operations/reclaim.py
@@ -96,39 +96,39 @@
     }
 
 
-def is_dead(row: LeaseRow, census: KnownProcesses) -> bool:
+def is_dead(row: LeaseRow, known_processes: KnownProcesses) -> bool:
     """Check whether the holder of a lease is confirmed dead.
 
     :param row: the lease.
-    :param census: known instances and incarnations.
+    :param known_processes: known instances and incarnations.
     :returns: whether it is.
     """
-    if row.instance in census.gone:
+    if row.instance in known_processes.gone:
         return True
-    current = census.incarnations.get(row.instance)
+    current = known_processes.incarnations.get(row.instance)
     return current is not None and not row.holder.startswith(f'{current}/')
 
 
 def plan_reclaims(
     budgets: dict[str, Budget],
-    census: KnownProcesses,
+    known_processes: KnownProcesses,
     reads: ReadLog,
     arming_delay_s: float,
 ) -> list[ReclaimIntent]:
     """Create intents to reclaim the leases of dead holders in a shard.
 
     :param budgets: the shard's budgets by name.
-    :param census: known instances and incarnations.
+    :param known_processes: known instances and incarnations.
     :param reads: reads of this shard.
     :param arming_delay_s: arming delay of the holders, in seconds.
     :returns: an intent for each lease.
     """
-    limit = census.known_at - arming_delay_s
+    limit = known_processes.known_at - arming_delay_s
     return [
         ReclaimIntent(name, row.holder, row.seq, _needs_full(row, reads, limit))
         for name, budget in budgets.items()
         for row in budget.rows.values()
-        if is_dead(row, census)
+        if is_dead(row, known_processes)
     ]
 
 
--- a/src/dykemast/_internal/serving/tokens/accounts.py
+++ b/src/dykemast/_internal/serving/tokens/accounts.py
@@ -11,7 +11,7 @@
     Identity,
     Terms,
     Usage,
-    Want,
+    TokenRequest,
 )
 from dykemast._internal.operations.demand import Demand
 from dykemast._internal.platform.store_types import StoreObject
@@ -49,8 +49,9 @@
     :param seen_at: time at which ``ledger`` was last read or confirmed.
     :param borrowed_at: time at which tokens were last borrowed in advance.
     :param written_at: time of the last attempt to write.
-    :param write_lock: held while it is written. Of two writes at once the older
-        answer could come last, and be taken for the row in the store.
+    :param write_lock: serializes writes of it. Of two concurrent writes, the
+        answer to the older one could arrive last and be taken for the row in
+        the store.
     """
 
     workspace: str
@@ -124,7 +125,7 @@
             self.identity,
             Usage(self.allowance.spent, max(0, self.allowance.count_charged())),
             terms,
-            Want(self.pending, demand, spare),
+            TokenRequest(self.pending, demand, spare),
         )
         row = planned.rows[self.identity.incarnation]
         self.allowance.lower_limit(row.limit)
--- a/src/dykemast/_internal/serving/tokens/budget_owners.py
+++ b/src/dykemast/_internal/serving/tokens/budget_owners.py
@@ -50,7 +50,7 @@
     # Routers that start together receive gossip from each other one by one.
     # Until then each would own all budgets, so they use the list of routers,
     # which is the same for all of them.
-    young = read_clock() - board.started_at < PEER_DISCOVERY_S
-    peers = board.peers.values() if young else list_live_peers(board)
+    is_new = read_clock() - board.started_at < PEER_DISCOVERY_S
+    peers = board.peers.values() if is_new else list_live_peers(board)
     # A router that is about to stop owns no budget.
     return (peer for peer in peers if not peer.card.leaving)
--- a/tests/lib/lease_world.py
+++ b/tests/lib/lease_world.py
@@ -141,7 +141,7 @@
     def reclaim(self, lag: float) -> None:
         """Reclaim leases as the owner of the shard does."""
         self.read_shard()
-        census = KnownProcesses(
+        known_processes = KnownProcesses(
             frozenset(
                 name
                 for name, since in self.gone.items()
@@ -152,7 +152,7 @@
         )
         plans = plan_reclaims(
             {BUDGET: self.shard.budget},
-            census,
+            known_processes,
             self.shard.reads,
             TERMS.arming_delay_s,
         )
--- a/tests/lib/ledger_world.py
+++ b/tests/lib/ledger_world.py
@@ -12,7 +12,7 @@
     Identity,
     Terms,
     Usage,
-    Want,
+    TokenRequest,
 )
 from dykemast._internal.operations.ledger_rows import plan_ledger
 
@@ -65,7 +65,7 @@
             router.identity,
             Usage(allowance.spent, max(0, allowance.count_charged())),
             Terms(router.version, self.prepaid, len(self.routers)),
-            Want(pending, demand, spare),
+            TokenRequest(pending, demand, spare),
         )
         row = planned.rows[router.identity.incarnation]
         allowance.lower_limit(row.limit)
--- a/tests/unit/test_lease_death.py
+++ b/tests/unit/test_lease_death.py
@@ -48,13 +48,13 @@
     assert world.consumed <= world.paid
 
 
-def test_a_frozen_router_keeps_its_lease() -> None:
+def test_a_suspended_router_keeps_its_lease() -> None:
     world = make_world()
-    frozen = world.routers[0]
-    allotted = find_row(world, frozen).allotted
+    suspended = world.routers[0]
+    allotted = find_row(world, suspended).allotted
     world.now += 4000
     world.reclaim(0)
-    assert find_row(world, frozen).allotted == allotted
+    assert find_row(world, suspended).allotted == allotted
 
 
 def test_death_long_ago_charges_the_whole_lease() -> None:
--- a/tests/unit/test_lease_fuzz.py
+++ b/tests/unit/test_lease_fuzz.py
@@ -28,7 +28,7 @@
         super().__init__()
         self.world = World()
         self.late_intents = []
-        self.frozen = set()
+        self.suspended = set()
 
     @initialize(tokens=st.integers(500, 5000))
     def lease_out(self, tokens) -> None:
@@ -46,24 +46,24 @@
 
     @rule(number=ROUTERS, tokens=TOKENS)
     def start_work(self, number, tokens) -> None:
-        if number not in self.frozen:
+        if number not in self.suspended:
             self.world.start_work(self.world.routers[number], tokens)
 
     @rule(number=ROUTERS)
     def use_all(self, number) -> None:
         """Consume all available tokens."""
-        if number not in self.frozen:
+        if number not in self.suspended:
             self.world.use_all(self.world.routers[number])
 
     @rule(number=ROUTERS)
     def hold_all(self, number) -> None:
         """Hold all available tokens several times, without responses."""
-        for _ in range(3 * (number not in self.frozen)):
+        for _ in range(3 * (number not in self.suspended)):
             self.world.hold_all(self.world.routers[number])
 
     @rule(number=ROUTERS, used=st.integers(0, 400))
     def end_work(self, number, used) -> None:
-        if number not in self.frozen:
+        if number not in self.suspended:
             self.world.end_work(self.world.routers[number], used)
 
     @rule(seconds=st.sampled_from([1, 5]))
@@ -71,25 +71,25 @@
         """Operate without faults: the owner reads, all routers renew."""
         for _ in range(3):
             self.world.read_shard()
-            for number in sorted({0, 1, 2} - self.frozen):
+            for number in sorted({0, 1, 2} - self.suspended):
                 self.world.renew(self.world.routers[number])
         self.world.now += seconds
 
     @rule(number=ROUTERS)
     def renew(self, number) -> None:
-        if number not in self.frozen:
+        if number not in self.suspended:
             self.world.renew(self.world.routers[number])
 
     @rule(number=ROUTERS)
     def renew_without_answer(self, number) -> None:
-        if number not in self.frozen:
+        if number not in self.suspended:
             for intent in self.world.plan(self.world.routers[number]):
                 self.world.shard.apply(intent)
 
     @rule(number=ROUTERS)
     def post(self, number) -> None:
         """Send intents that arrive late or never."""
-        if number not in self.frozen:
+        if number not in self.suspended:
             self.late_intents.extend(
                 self.world.plan(self.world.routers[number])
             )
@@ -104,18 +104,18 @@
 
     @rule(number=ROUTERS, same=st.booleans(), wait=WAITS)
     def kill(self, number, same, wait) -> None:
-        self.frozen.discard(number)
+        self.suspended.discard(number)
         self.world.replace(number, same_instance=same)
         self.world.now += wait
         self.world.reclaim(0)
 
     @rule(number=ROUTERS)
-    def freeze_or_thaw(self, number) -> None:
-        self.frozen ^= {number}
+    def suspend_or_resume(self, number) -> None:
+        self.suspended ^= {number}
 
     @rule(giver=ROUTERS, taker=ROUTERS, tokens=TOKENS, lost=st.booleans())
     def lend(self, giver, taker, tokens, lost) -> None:
-        if giver != taker and not self.frozen & {giver, taker}:
+        if giver != taker and not self.suspended & {giver, taker}:
             world = self.world
             lender = world.routers[giver].lease_registry.holders.get(BUDGET)
             borrower = world.routers[taker].lease_registry.holders.get(BUDGET)
@@ -145,7 +145,7 @@
     def use_everything(self, seconds) -> None:
         world = self.world
         for number in (0, 1, 2):
-            if number not in self.frozen:
+            if number not in self.suspended:
                 world.use_all(world.routers[number])
                 world.renew(world.routers[number])
         world.now += seconds
--- a/tests/unit/test_network_partitions.py
+++ b/tests/unit/test_network_partitions.py
@@ -15,7 +15,7 @@
     Identity,
     Terms,
     Usage,
-    Want,
+    TokenRequest,
 )
 from dykemast._internal.operations.demand import Demand
 from dykemast._internal.operations.ledger_rows import plan_ledger
@@ -50,7 +50,7 @@
             self.identity,
             Usage(self.used, self.used),
             Terms(1, PREPAID, ROUTERS),
-            Want(0, self.demand.compute_rate(now)),
+            TokenRequest(0, self.demand.compute_rate(now)),
         )
         self.limit = planned.rows[self.identity.incarnation].limit
         return planned
--- a/tools/hall_mutations.py
+++ b/tools/hall_mutations.py
@@ -118,8 +118,8 @@
         'choose a keeper among those that are heard at the start',
         'tokens do not hang on one router',
         f'{_INTERNAL}/serving/tokens/budget_owners.py',
-        'peers = board.peers.values() if young else list_live_peers(board)',
-        'peers = list_live_peers(board) if young else list_live_peers(board)',
+        'peers = board.peers.values() if is_new else list_live_peers(board)',
+        'peers = list_live_peers(board) if is_new else list_live_peers(board)',
         'test_budget_owners',
     ),
     Mutation(
