--- a/src/dykemast/_internal/serving/tokens/ledger_writer.py
+++ b/src/dykemast/_internal/serving/tokens/ledger_writer.py
@@ -17,40 +17,40 @@
 
 _log = make_logger('budgets')
 
-#: Writes of one budget in a row that may meet another router's.
+#: Consecutive write conflicts after which a write is given up.
 MAX_CONFLICTS: Final = 6
-#: Seconds after a failed call in which no other is made: a cut or an outage
-#: lasts seconds, and each call in it is priced and waited for.
+#: Seconds after a failed call in which no other is made: a network partition
+#: or an outage lasts seconds, and each call in it costs money and time.
 AWAY_PAUSE: Final = 0.4
 
 
 class LedgerWriter:
-    """Writes rows, one at a time for each budget.
+    """Writes rows, one at a time per budget.
 
     :param board: the blackboard.
     :param store: the object store.
     """
 
     def __init__(self, board: ServingBoard, store: ObjectStore) -> None:
-        """Expect the store to answer."""
+        """Create a writer that takes the store as available."""
         self._board = board
         self._store = store
         self._failed_at = -AWAY_PAUSE
         #: Whether the last call failed.
-        self.is_away = False
+        self.is_store_unavailable = False
 
     def may_call_store(self) -> bool:
-        """Tell whether a call makes sense now.
+        """Check whether the store may be called now.
 
-        :returns: False for a while after one has failed.
+        :returns: False for :data:`AWAY_PAUSE` seconds after a failed call.
         """
         return read_clock() > self._failed_at + AWAY_PAUSE
 
     def read_terms(self, workspace: str) -> Terms:
-        """Read what bounds a row now.
+        """Read the current bounds of a row.
 
-        :param workspace: whose budget it is.
-        :returns: the terms.
+        :param workspace: workspace of the budget.
+        :returns: the bounds.
         """
         table = self._board.table
         found = table.workspaces.get(workspace) if table else None
@@ -64,30 +64,30 @@
         """Write the row of one budget; a failure is logged.
 
         :param account: the budget.
-        :param spare: whether to keep any tokens spare.
+        :param spare: whether to keep spare tokens.
         """
-        async with account.turn:
+        async with account.write_lock:
             await self._write_logged(account, spare=spare)
-        self._board.budget_write_failed = self.is_away
+        self._board.budget_write_failed = self.is_store_unavailable
 
     async def _write_logged(self, account: Account, *, spare: bool) -> None:
         account.written_at = read_clock()
         try:
             await self._write(account, spare=spare)
         except ContendedError as error:
-            # Seven routers that start at once meet each other in ten budgets;
-            # to take that for an outage refused callers of all of these.
+            # Seven routers that start together conflict in ten budgets. This
+            # is no outage, as which it would refuse callers of all of them.
             self._note_failure(account, 'budget_contended', error)
         except InvalidBudgetError as error:
-            # No other budget waits for it.
+            # An invalid budget does not affect the others.
             self._note_failure(account, 'budget_not_usable', error)
         except PlatformError as error:
             self._note_failure(account, 'budget_not_written', error)
-            self.is_away = True
+            self.is_store_unavailable = True
             self._failed_at = read_clock()
         else:
-            self.is_away = False
-            _log('budget_written', **describe(account))
+            self.is_store_unavailable = False
+            _log('budget_written', **describe_account(account))
 
     def _note_failure(
         self,
@@ -95,36 +95,36 @@
         event: str,
         error: PlatformError,
     ) -> None:
-        """Take note that a row was not written though the store answers."""
-        account.see(None)
-        self.is_away = False
+        """Record that a row was not written although the store answered."""
+        account.record_stored(None)
+        self.is_store_unavailable = False
         _log(event, workspace=account.workspace, reason=str(error))
 
     async def _write(self, account: Account, *, spare: bool) -> None:
         for _ in range(MAX_CONFLICTS):
             if account.stored is None:
-                account.see(
+                account.record_stored(
                     await self._store.read(BUDGET_KIND, account.workspace)
                 )
             terms = self.read_terms(account.workspace)
-            # What a stopping router kept spare would be charged to its end.
+            # Spare tokens of a stopping router would be charged in full.
             keep = spare and not self._board.stopping
             planned = account.plan(terms, spare=keep)
             try:
                 written = await self._store.write(BUDGET_KIND, planned)
             except VersionConflictError as conflict:
-                account.see(conflict.current)
+                account.record_stored(conflict.current)
             else:
-                account.take_written(written)
+                account.apply_written(written)
                 return
-        raise ContendedError(f'{MAX_CONFLICTS} conflicts in a row')
+        raise ContendedError(f'{MAX_CONFLICTS} consecutive write conflicts')
 
 
-def describe(account: Account) -> dict[str, Any]:
-    """Describe a budget for the log.
+def describe_account(account: Account) -> dict[str, Any]:
+    """Build the log fields of a budget.
 
     :param account: the budget.
-    :returns: what is known of it, and of which revision.
+    :returns: its cached state and revision.
     """
     ledger = account.ledger
     allowance = account.allowance
