--- a/tests/lib/backend_server.py
+++ b/tests/lib/backend_server.py
@@ -1,17 +1,16 @@
-"""Stand-in of a users' backend server, by their published protocol.
-
-``python -m tests.lib.backend_server --port N --name ID``. It streams events
-for paths under ``/stream/``, works a while on paths that end in ``/slow``,
-until its caller is gone, and answers at once elsewhere. ``POST /control``
-sets ``fault``: nothing, ``shed`` (503, not run), ``error`` (500), ``cut``
-(breaks off midway), ``part`` (ends in the middle of an event), ``mute`` (no
-answer), ``unsigned``, ``other`` (answers another request) or
-``misdirected``; ``pause`` (seconds between events), ``delay`` (seconds
-that a plain call takes) and ``fields`` (header fields of all its answers). A
-request whose body begins with ``crash`` ends
-the process when it begins to run it. It returns what ran, what it got and
-what arrived,
-with times of the clock that all processes of a machine share.
+"""Stand-in for a users' backend server, by their published protocol.
+
+``python -m tests.lib.backend_server --port N --name ID``. Paths under
+``/stream/`` stream events, paths that end in ``/slow`` run until done or until
+the caller disconnects, all others respond immediately. ``POST /control`` sets
+``fault``: nothing, ``shed`` (503, not run), ``error`` (500), ``cut``
+(truncates the response), ``part`` (ends in the middle of an event), ``mute``
+(no response), ``unsigned``, ``other`` (responds for another request) or
+``misdirected``; ``pause`` (seconds between events), ``delay`` (seconds that a
+plain call takes) and ``fields`` (header fields of all responses). A request
+whose body begins with ``crash`` ends the process when its run begins.
+``/control`` returns the runs, the received header fields and the arrivals,
+with times of the monotonic clock that all processes of a machine share.
 """
 
 import asyncio
@@ -28,10 +27,10 @@
 from tests.lib.stand_ins import make_parser, run_app
 
 EVENT_PAUSE = 0.01
-#: Seconds of work on a slow path, and between two looks at its caller.
+#: Duration of a slow call, and interval of checks for a disconnected caller.
 SLOW_TIME = 1.5
 LOOK_PAUSE = 0.05
-#: Beginning of a body that ends the process, and seconds until it does.
+#: Prefix of a body that ends the process, and the delay until it does.
 CRASH = b'crash'
 CRASH_TIME = 0.05
 state: dict[str, Any] = {
@@ -46,7 +45,7 @@
 
 
 class BreakError(Exception):
-    """Breaks an answer off."""
+    """Raised to truncate the response."""
 
 
 def _make_head(request: Request) -> dict[str, str]:
--- a/tests/lib/caller.py
+++ b/tests/lib/caller.py
@@ -1,4 +1,4 @@
-"""A caller: sends requests to a fleet's routers."""
+"""HTTP client that sends requests to the routers of a fleet."""
 
 import json
 from types import MappingProxyType
@@ -11,12 +11,12 @@
 from tools.polling import HANG_GUARD
 
 
-#: Headers of an ordinary caller.
+#: Headers of a caller of the workspace ``joinville``.
 CALLER = MappingProxyType({'authorization': 'Bearer joinville-key'})
 
 
 class Answer(NamedTuple):
-    """What a caller got."""
+    """Response that a caller received."""
 
     status: int
     headers: Any
@@ -49,7 +49,7 @@
     key: str = '',
     **fields: Any,
 ) -> Answer:
-    """Ask for a chat completion."""
+    """Request a chat completion."""
     messages = [{'role': 'user', 'content': prompt}]
     body = {'model': 'tiny-1', 'messages': messages, **fields}
     headers = {'idempotency_key': key} if key else {}
--- a/tests/lib/cases.py
+++ b/tests/lib/cases.py
@@ -1,7 +1,7 @@
 """Find the tests: plain functions named ``test_...`` in test files.
 
-A function that is a coroutine runs in a loop of its own. Stateful tests of
-hypothesis are found by the ``TestCase`` that they make.
+A coroutine function runs in an event loop of its own. Stateful tests of
+hypothesis are found by their ``TestCase``.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 def find_cases(names: list[str]) -> unittest.TestSuite:
-    """Find tests whose module or name contains one of some texts."""
+    """Find tests whose full name contains one of ``names``."""
     suite = unittest.TestSuite()
     for package in (unit, functional):
         for found in pkgutil.iter_modules(package.__path__):
--- a/tests/lib/crash_days.py
+++ b/tests/lib/crash_days.py
@@ -1,4 +1,4 @@
-"""Days on which servers end, told to a table of crashes as routers would."""
+"""Simulated days with server crashes, recorded in a crash table."""
 
 import random
 from typing import NamedTuple
@@ -12,29 +12,29 @@
 from dykemast._internal.operations.crash_review import review_suspects
 from dykemast._internal.operations.crash_table import CrashTable
 
-#: Seconds of a step, of a day, and until a server is back.
+#: Seconds of a step, of a day, and until a server restarts.
 STEP = 0.05
 DAY = 60.0
 DOWN_TIME = 3.0
 SERVERS = 9
-#: Routers judge anew every 0.2 s.
+#: Routers review suspects every 0.2 s.
 STEPS_A_REVIEW = 4
-#: Seconds until a run brings events, and for which it goes on.
+#: Seconds until the first event of a run, and longest duration of a run.
 READ_TIME = 0.3
 LONGEST_RUN = 5.0
 SERVICE = 'llm'
 
 
 class Day(NamedTuple):
-    """What happens on a day.
+    """Load and crashes of a simulated day.
 
-    :param seed: of all draws.
-    :param asks: requests a second.
-    :param hot: share of them that are one and the same.
-    :param deaths: servers a second that end by themselves.
+    :param seed: seed of the random generator.
+    :param asks: requests per second.
+    :param hot: share of requests that are identical.
+    :param deaths: server crashes per second that no request causes.
     :param losses: seconds between two losses of all servers; 0 for none.
-    :param guilty: seconds between two asks of a request that ends servers; 0
-        for none.
+    :param guilty: seconds between two sends of the crashing request; 0 for
+        none.
     """
 
     seed: int
@@ -46,7 +46,7 @@
 
 
 class Run(NamedTuple):
-    """A request at a server."""
+    """A request that runs on a server."""
 
     request: str
     server: int
@@ -55,14 +55,14 @@
 
 
 GUILTY = 'guilty'
-#: Seconds from its send until a guilty request has ended its server.
+#: Seconds from the send of a crashing request to the crash of its server.
 CRASH_TIME = 0.15
 
 
 class CrashDay:
-    """Plays a day; requests in quarantine are not sent.
+    """Simulation of a day; quarantined requests are not sent.
 
-    :param day: what happens.
+    :param day: load and crashes.
     """
 
     def __init__(self, day: Day) -> None:
--- a/tests/lib/crowd.py
+++ b/tests/lib/crowd.py
@@ -1,4 +1,4 @@
-"""Many callers that ask all routers at once, and what servers get of it."""
+"""Concurrent callers of all routers, and the request rate at servers."""
 
 import time
 from collections.abc import Callable
@@ -9,14 +9,14 @@
 from tests.lib.users_caller import Reply, send, stream
 
 CALLERS = 16
-#: Seconds in which a refusal is given.
+#: Longest duration of an immediate refusal.
 AT_ONCE = 1.0
 
 Ask = Callable[[Deployment, str], Reply]
 
 
 class Asked(NamedTuple):
-    """A reply, when it was asked for and how many seconds it took."""
+    """A reply, the time of its request and its duration in seconds."""
 
     reply: Reply
     at: float
@@ -32,12 +32,12 @@
 
 
 def start_plenty(routers: int, engines: int) -> Deployment:
-    """Start a deployment whose budget lasts."""
+    """Start a deployment whose budget the test does not exhaust."""
     return Deployment(routers, engines).start(prepaid=100_000_000)
 
 
 def ask_all(deployment: Deployment, ask: Ask, seconds: float) -> list[Asked]:
-    """Ask all routers at once, again and again."""
+    """Send requests to all routers concurrently for ``seconds``."""
     until = time.monotonic() + seconds
 
     def ask_one(number: int) -> list[Asked]:
@@ -57,7 +57,7 @@
 def find_busiest(
     deployment: Deployment, server: str, since: float, window: float = 1
 ) -> int:
-    """Count the arrivals in the busiest window of some seconds."""
+    """Count the arrivals in the busiest window of the given length."""
     arrivals = deployment.control(server)['arrivals']
     times = [at for _, at in arrivals if at >= since]
     return max(
@@ -67,7 +67,7 @@
 
 
 def check_refusals(asked: list[Asked]) -> None:
-    """Check that some were refused, each at once and as not run."""
+    """Check that some were refused, each immediately and as not run."""
     refused = [one for one in asked if one.reply.status != 200]
     assert refused
     for one in refused:
--- a/tests/lib/deployment.py
+++ b/tests/lib/deployment.py
@@ -1,6 +1,6 @@
 """A small deployment on loopback: store, backend servers and routers.
 
-Each router has an IP number of its own, as on the users' instances.
+Each router has an IP address of its own, as on the users' instances.
 """
 
 import json
@@ -31,14 +31,14 @@
         )
         ports = find_ports(len(PORT_NAMES))
         self.ports = dict(zip(PORT_NAMES, ports, strict=True))
-        #: Ports that are listed or told instead of the real ones.
+        #: Ports that the store and settings name instead of the real ones.
         self.listed_ports: dict[str, int] = {}
         self.store_ports: dict[str, int] = {}
-        #: Where servers and routers stand, when not where all others do.
+        #: Halls of servers and routers that are not in the default hall.
         self.halls: dict[str, str] = {}
-        #: Other objects that the store holds from the start.
+        #: Further objects that the store holds from the start.
         self.stored_first: list[list[Any]] = []
-        #: The program that routers run.
+        #: Module that router processes run.
         self.router_module = 'dykemast.instance'
         self.names = [f'node-{number}' for number in range(routers)]
         self.processes = Processes()
@@ -94,12 +94,12 @@
             raise TimeoutError(self.processes.read_log(name))
 
     def control(self, name: str, **fields: Any) -> Any:
-        """Set faults of the store or of a server; see their modules."""
+        """Set faults of the store or of a server, as their modules list."""
         port = self.backend_ports[name]
         return call(f'http://127.0.0.1:{port}/control', fields)
 
     def is_listening(self, name: str) -> bool:
-        """Tell whether the store or a server can be asked."""
+        """Whether the store or a server accepts connections."""
         try:
             self.control(name)
         except (url_error.URLError, OSError):
@@ -114,7 +114,7 @@
         return msgspec.convert(spec, BudgetLedger)
 
     def count_granted(self, workspace: str) -> int:
-        """Sum of the limits of all routers and of what is charged."""
+        """Return the sum of all routers' limits and of the charged tokens."""
         limits = [row.limit for row in self.list_rows(workspace)]
         return self.read_ledger(workspace).closed + sum(limits)
 
--- a/tests/lib/engine.py
+++ b/tests/lib/engine.py
@@ -1,11 +1,11 @@
-"""Stand-in for a model engine; counts what it ran per request id.
+"""Stand-in for a model engine; counts runs per request id.
 
 ``python -m tests.lib.engine --port N --models a,b``. One prompt token per
-four bytes plus eight; output runs to the cap unless the prompt says
-``stop=N``. ``GET /counts`` tells what was run, ``POST /control`` sets
+four bytes plus eight; output runs to the limit unless the prompt contains
+``stop=N``. ``GET /counts`` returns the runs, ``POST /control`` sets
 ``rate`` (tokens/s), ``cut_after`` (tokens until the stream breaks),
 ``swap_ids`` (echo a wrong request id), ``slots`` (requests at a time, urgent
-ones first; 0 for any), ``lag`` (s by which load reports are late) and
+ones first; 0 for no limit), ``lag`` (delay of load reports, s) and
 ``fenced`` (refuse an ``X-Fencing-Number`` lower than the highest seen).
 """
 
--- a/tests/lib/engine_slots.py
+++ b/tests/lib/engine_slots.py
@@ -1,4 +1,4 @@
-"""Slots, late reports and fencing of the stand-in engine."""
+"""Slots, delayed load reports and fencing of the stand-in engine."""
 
 import asyncio
 import heapq
@@ -10,7 +10,7 @@
 
 
 class Slots:
-    """As many requests at a time as the engine is told; 0 for no limit."""
+    """Limit of concurrent requests, urgent ones first; 0 for no limit."""
 
     def __init__(self) -> None:
         self.limit = 0
@@ -36,7 +36,7 @@
 
 
 class LateReports:
-    """Load reports that are shown late."""
+    """Load reports that are returned with a delay."""
 
     def __init__(self) -> None:
         self.history: deque[Any] = deque(maxlen=1000)
@@ -52,7 +52,7 @@
 
 
 class Fence:
-    """Highest fencing number seen."""
+    """Check against the highest fencing number seen."""
 
     def __init__(self) -> None:
         self.newest = 0
--- a/tests/lib/engine_text.py
+++ b/tests/lib/engine_text.py
@@ -1,4 +1,4 @@
-"""How many tokens the stand-in engine sees and makes."""
+"""Prompt and output token counts of the stand-in engine."""
 
 import json
 import re
--- a/tests/lib/fake_platform.py
+++ b/tests/lib/fake_platform.py
@@ -1,4 +1,4 @@
-"""The platform in memory, with faults that a test chooses for each call."""
+"""In-memory platform with faults that a test chooses for each call."""
 
 from collections import deque
 from collections.abc import Coroutine
@@ -12,7 +12,7 @@
 
 
 def drive(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine that never really waits."""
+    """Run a coroutine that never suspends."""
     try:
         work.send(None)
     except StopIteration as end:
@@ -21,7 +21,7 @@
 
 
 class Write(NamedTuple):
-    """A write that is still on its way."""
+    """A write that has not taken effect yet."""
 
     name: str
     body: bytes
@@ -29,7 +29,7 @@
 
 
 class FakePlatform:
-    """Objects with versions, and faults for the next writes."""
+    """Versioned objects, and faults of the next writes."""
 
     def __init__(self) -> None:
         self.store: dict[str, Stored] = {}
@@ -63,7 +63,7 @@
         assert self.store.pop(name).version == version
 
     def apply(self, write: Write) -> int:
-        """Let a write take effect, if its version still fits."""
+        """Apply a write if its version is still the current one."""
         before = self.store.get(write.name, Stored(b'', 0))
         if before.version != write.version:
             raise VersionConflictError('other version')
--- a/tests/lib/fixtures.py
+++ b/tests/lib/fixtures.py
@@ -36,12 +36,12 @@
 
 
 def wait_until(is_done: Callable[[], bool], patience: float = 20) -> bool:
-    """Wait for something to become true."""
+    """Poll until the condition is true or the timeout is over."""
     return poll_until(is_done, patience)
 
 
 def ask_caller_api(fleet: Fleet, router: int, path: str) -> Any:
-    """Get something from a router's address for callers."""
+    """Get a path from a router's caller address."""
     port = fleet.layout.routers[router].caller_port
     return call(f'http://{HOST}:{port}{path}')
 
@@ -53,5 +53,5 @@
 
 
 def count_bills(fleet: Fleet, keys: list[str]) -> set[int]:
-    """Count how often keys were billed; ``{1}`` when each was once."""
+    """Return the distinct numbers of bills; ``{1}`` if each key has one."""
     return {len(find_bills(fleet, key)) for key in keys}
--- a/tests/lib/identities.py
+++ b/tests/lib/identities.py
@@ -1,4 +1,4 @@
-"""Requests as they are known again when they are asked anew."""
+"""Identities by which routers recognise a repeated request."""
 
 from dykemast._internal.models.caller_request import CallerRequest
 from dykemast._internal.operations.request_identity import RequestIdentity
@@ -24,5 +24,5 @@
 
 
 def identify(workspace: str, body: bytes) -> RequestIdentity:
-    """Make the identity of a request by its caller and its body."""
+    """Make the identity of a request from its workspace and its body."""
     return RequestIdentity(REQUEST, workspace, body)
--- a/tests/lib/known_red.py
+++ b/tests/lib/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a real fault that is known: ``KNOWN-RED.txt``.
+"""Tests with a known failure, as listed in ``KNOWN-RED.txt``.
 
 One line each: the test's name, a colon, the cause and the issue. They run
-like all others, are printed, and alone may fail.
+like all others and are printed; no other test may fail.
 """
 
 import unittest
@@ -11,7 +11,7 @@
 
 
 def read_known(path: Path = PATH) -> dict[str, str]:
-    """Read which tests may fail, and why."""
+    """Read the tests that may fail, with the reasons."""
     if not path.exists():
         return {}
     lines = [line for line in path.read_text().splitlines() if line.strip()]
@@ -23,7 +23,7 @@
     outcome: unittest.TestResult,
     known: dict[str, str],
 ) -> list[str]:
-    """Find the tests that failed and may not."""
+    """Find the failed tests that are not listed."""
     broken = [*outcome.failures, *outcome.errors]
     failed = [case.id() for case, _ in broken]
     return [name for name in failed if name not in known]
--- a/tests/lib/object_store.py
+++ b/tests/lib/object_store.py
@@ -1,11 +1,11 @@
-"""Stand-in of the users' object store, by its published protocol.
+"""Stand-in for the users' object store, by its published protocol.
 
 ``python -m tests.lib.object_store --port N``. ``POST /control`` sets faults:
-``latency`` (s), ``away`` (503 to all), ``silent`` (no answer), ``lose``
-(writes that are done and not answered), ``late`` (s after which such writes
-are done), ``deaf`` (watches hear nothing), ``forget`` (drop the history) and
-``raw`` (text, with bytes as surrogates, that stands in each listing of
-backend servers as one more item).
+``latency`` (s), ``away`` (503 to all), ``silent`` (no response), ``lose``
+(number of writes that are applied without a response), ``late`` (delay of such
+writes, s), ``deaf`` (watches send no events), ``forget`` (drop the history)
+and ``raw`` (text, with bytes as surrogates, that each listing of backend
+servers contains as one more item).
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class Store:
-    """Objects, their history and the faults."""
+    """Objects, their history and the faults to apply."""
 
     def __init__(self) -> None:
         self.kinds: dict[str, dict[str, dict]] = {}
@@ -98,7 +98,7 @@
 
 
 def _fits(wanted: int | None, found: dict) -> bool:
-    # A PUT that gives no revision replaces whatever is there.
+    # A PUT without a revision replaces any version.
     return wanted is None or wanted == found['metadata']['revision']
 
 
--- a/tests/lib/plain.py
+++ b/tests/lib/plain.py
@@ -1,7 +1,7 @@
-"""Stand-in for a plain service; counts how often each key was run.
+"""Stand-in for a plain service; counts the runs of each key.
 
-``python -m tests.lib.plain --port N``. ``GET /counts`` tells the runs per
-request id; ``POST /control`` sets ``delay`` (s) before an answer.
+``python -m tests.lib.plain --port N``. ``GET /counts`` returns the runs per
+request id; ``POST /control`` sets ``delay`` (s) before a response.
 """
 
 import asyncio
--- a/tests/lib/platform.py
+++ b/tests/lib/platform.py
@@ -1,8 +1,8 @@
 """Stand-in for the platform: object API with watches, and instance list.
 
 ``python -m tests.lib.platform --port N``. ``POST /control`` sets faults:
-``latency`` (s), ``away`` (bool), ``lose`` (answers to drop after the write
-took effect), ``limit`` (calls a second; beyond that 429), ``instances`` (the
+``latency`` (s), ``away`` (bool), ``lose`` (responses to drop after the write
+took effect), ``limit`` (calls per second; beyond that 429), ``instances`` (the
 list) and ``lag`` (s until the list shows it).
 """
 
@@ -60,8 +60,8 @@
     if len(body) > 2**20:
         return JSONResponse({}, 413)
     clock['mark'] += 1
-    # Versions come from one counter, so that a name that was deleted and
-    # made again never shows an old version.
+    # One counter for all versions, so that a name that is deleted and created
+    # again never gets an earlier version.
     store[name] = (body, clock['mark'], clock['mark'])
     if request.method == 'DELETE':
         store.pop(name)
--- a/tests/lib/server_keeper.py
+++ b/tests/lib/server_keeper.py
@@ -1,4 +1,4 @@
-"""Start backend servers again that ended, as the users' platform does."""
+"""Restart crashed backend servers, as the users' platform does."""
 
 import threading
 import time
@@ -7,16 +7,16 @@
 from tests.lib.deployment import Deployment
 from tests.lib.users_objects import make_next_start
 
-#: Seconds between two looks.
+#: Interval of checks for crashed servers.
 LOOK_PAUSE = 0.02
 
 
 class ServerKeeper:
-    """Watches the servers of a deployment until ``stop``.
+    """Restarts crashed servers of a deployment until ``stop``.
 
-    :param deployment: whose servers may end.
-    :param down_time: seconds until one is back, under a new start.
-    :param tell_end: called with the name of one that ended.
+    :param deployment: deployment whose servers may crash.
+    :param down_time: seconds until a server restarts as a new incarnation.
+    :param tell_end: called with the name of a crashed server.
     """
 
     def __init__(
@@ -30,13 +30,13 @@
         self._tell_end = tell_end
         self._stopping = threading.Event()
         self._back_at: dict[str, float] = {}
-        #: When servers ended, in order.
+        #: Times of crashes, in order.
         self.ends: list[float] = []
         self._thread = threading.Thread(target=self._watch)
         self._thread.start()
 
     def wait_all_up(self) -> None:
-        """Wait until no server is gone."""
+        """Wait until no server is down."""
         while self._back_at:
             time.sleep(LOOK_PAUSE)
 
--- a/tests/lib/serving_boards.py
+++ b/tests/lib/serving_boards.py
@@ -1,4 +1,4 @@
-"""Blackboards of routers that run nowhere."""
+"""Blackboards of routers without running processes."""
 
 from dykemast._internal.models.deployment import (
     Bounds,
@@ -14,7 +14,7 @@
 
 
 def make_endpoint(port: int) -> Endpoint:
-    """Make an address that nobody listens on."""
+    """Make an address on which no process listens."""
     return Endpoint(HOST, port)
 
 
@@ -34,7 +34,7 @@
 
 
 def make_boards(count: int) -> list[ServingBoard]:
-    """Make blackboards of routers that all heard of each other just now."""
+    """Make blackboards of routers that are all live peers of each other."""
     boards = [make_board(f'node-{number}') for number in range(count)]
     now = read_clock()
     for board in boards:
--- a/tests/lib/shared_deployment.py
+++ b/tests/lib/shared_deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that tests share which break nothing."""
+"""Deployment shared by tests that inject no faults."""
 
 import functools
 
@@ -7,5 +7,5 @@
 
 @functools.cache
 def start_shared() -> Deployment:
-    """Start the deployment that tests share which break nothing."""
+    """Start the deployment shared by tests that inject no faults."""
     return Deployment().start()
--- a/tests/lib/stand_ins.py
+++ b/tests/lib/stand_ins.py
@@ -1,4 +1,4 @@
-"""How the stand-ins, each a program of its own, are started."""
+"""Start of the stand-in programs."""
 
 import argparse
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Make a parser of the arguments that all stand-ins take."""
+    """Make a parser of the arguments that all stand-ins share."""
     parser = argparse.ArgumentParser()
     parser.add_argument('--host', default='127.0.0.1')
     parser.add_argument('--port', type=int, required=True)
@@ -22,7 +22,7 @@
     options: argparse.Namespace,
     log_level: str = 'error',
 ) -> None:
-    """Serve until a signal; who fails on purpose logs ``critical`` only."""
+    """Serve until a signal; those that inject faults log ``critical`` only."""
     uvicorn.run(
         app,
         host=options.host,
@@ -34,7 +34,7 @@
 
 
 def make_controls(settings: dict[str, Any], counts: dict[str, int]) -> list:
-    """Make the routes that set what a stand-in does and tell what it ran."""
+    """Make the routes that set a stand-in's faults and return its counts."""
 
     async def show_counts(_: Request) -> Response:
         return JSONResponse(counts)
--- a/tests/lib/streams.py
+++ b/tests/lib/streams.py
@@ -1,4 +1,4 @@
-"""Streams that a test reads piece by piece."""
+"""Streamed responses that a test reads incrementally."""
 
 import json
 from http import client
@@ -9,7 +9,7 @@
 from tools.polling import HANG_GUARD
 
 
-#: What stands for the place where a connection broke.
+#: Marks the position at which the connection broke.
 BROKEN = b'<broken>'
 
 
@@ -37,7 +37,7 @@
 
 
 def read_rest(response: client.HTTPResponse) -> bytes:
-    """Read to the end, or to where the connection breaks."""
+    """Read to the end, or until the connection breaks."""
     try:
         return response.read()
     except client.IncompleteRead as error:
--- a/tests/lib/suspended_router.py
+++ b/tests/lib/suspended_router.py
@@ -1,13 +1,13 @@
-"""A router on a machine that is suspended whenever the process stands still.
+"""Router that takes a stop of its process for a suspension of its machine.
 
-``python -m tests.lib.suspended_router``. Its steady clock then does not count
-that time, as that of a machine that sleeps; the clock that counts it does.
+``python -m tests.lib.suspended_router``. While the process is stopped, its
+monotonic clock stands still and its boot-time clock goes on.
 """
 
 import time
 
-#: Seconds between two readings of the clock that show a suspension: loops of
-#: a router read it many times a second.
+#: A longer interval between two clock reads is a suspension: the background
+#: loops of a router read the clock many times a second.
 SHORTEST = 1.0
 
 _read_running = time.monotonic
--- a/tests/lib/users_caller.py
+++ b/tests/lib/users_caller.py
@@ -1,4 +1,4 @@
-"""A caller of a users' deployment."""
+"""HTTP client for the routers of a users' deployment."""
 
 import uuid
 from http import client as http_client
@@ -10,7 +10,7 @@
 
 
 class Reply(NamedTuple):
-    """What a caller got; ``whole`` is False when it broke off."""
+    """Response to a caller; ``whole`` is False if it is truncated."""
 
     status: int
     headers: dict[str, str]
@@ -26,7 +26,7 @@
     body: str = 'hello',
     **headers: str,
 ) -> Reply:
-    """Send one request to a router and read the whole answer."""
+    """Send one request to a router and read the whole response."""
     fields = _make_fields(headers)
     connection = http_client.HTTPConnection(
         deployment.find_host(router),
@@ -63,7 +63,7 @@
     prompt: str = 'aa:60,bb:40',
     **options: str,
 ) -> Reply:
-    """Ask for a stream of events."""
+    """Request a stream of events."""
     return send(
         deployment,
         path,
@@ -79,7 +79,7 @@
     router: str = 'node-0',
     **options: str,
 ) -> tuple[http_client.HTTPConnection, str]:
-    """Ask for a stream that the test reads, or leaves; also tell its id."""
+    """Request a stream for the test to read; also return its request id."""
     declared = {'X_Token_Usage': '100,20', 'X_Prefix_Hash': 'aa:60,bb:40'}
     fields = _make_fields({'X_Deadline_Ms': '20000', **declared, **options})
     connection = http_client.HTTPConnection(
--- a/tests/lib/users_objects.py
+++ b/tests/lib/users_objects.py
@@ -1,11 +1,11 @@
-"""Objects of the users' store, as their operators and servers write them."""
+"""Store objects as the users' operators and servers write them."""
 
 from types import MappingProxyType
 from typing import Any
 
 HOST = 'shop.example'
 KEY = 'key-of-joinville'
-#: Where servers and routers stand that no test puts elsewhere.
+#: Default hall of servers and routers.
 HALL = 'joinville'
 
 
@@ -99,7 +99,7 @@
     return ['servers', name, spec]
 
 
-#: Fields that make an entry one of another writer, by what is wrong with them.
+#: Fields that make a server entry invalid, by the kind of error.
 FOREIGN = MappingProxyType(
     {
         'number': {'address': 5},
@@ -113,18 +113,18 @@
 
 
 def make_foreign(how: str) -> list[Any]:
-    """Make an object of a kind that names no server to use."""
+    """Make an invalid server entry with the given kind of error."""
     kind, name, spec = make_server(f'foreign-{how}', 9)
     return [kind, name, {**spec, **FOREIGN[how]}]
 
 
 def make_evacuation(hall: str) -> list[Any]:
-    """Ask that nothing more goes to the servers of a hall."""
+    """Make an evacuation: no new requests to the servers of a hall."""
     return ['evacuations', hall, {}]
 
 
 def make_next_start(server: str, spec: dict[str, Any]) -> list[Any]:
-    """Make the entry of a server that has started again under its id."""
+    """Make the entry of the next incarnation of a server."""
     born = spec.get('born', 1_000_000) + 1
     started = {**spec, 'state': 'ready', 'born': born, 'sequence': 1}
     return ['servers', server, started]
--- a/tests/lib/users_settings.py
+++ b/tests/lib/users_settings.py
@@ -1,11 +1,11 @@
-"""Settings file of one instance, as the users' platform writes it."""
+"""Settings file of an instance, as the users' platform writes it."""
 
 from types import MappingProxyType
 from typing import Any
 
 from tests.lib.users_objects import HALL
 
-#: Milliseconds after which an evacuation is in force.
+#: Time until an evacuation is in force.
 EVACUATE_MS = 3000
 REGIONS = MappingProxyType(
     {'joinville': 'sul', 'curitiba': 'sul', 'cluj': 'norte'}
