--- a/tests/functional/test_backends.py
+++ b/tests/functional/test_backends.py
@@ -39,7 +39,7 @@
             ask_chat(fleet, number % 2, f'p{number} stop=1')
         return count_runs(leaving) == before
 
-    assert wait_until(is_known, patience=3)
+    assert wait_until(is_known, timeout_s=3)
     assert is_known()
 
 
@@ -80,5 +80,5 @@
             runs.update(call(f'http://{HOST}:{engine.port}/counts'))
         return runs[name]['output']
 
-    assert wait_until(lambda: read_output() == read_output(), patience=5)
+    assert wait_until(lambda: read_output() == read_output(), timeout_s=5)
     assert read_output() < 250
--- a/tests/functional/test_cold_servers.py
+++ b/tests/functional/test_cold_servers.py
@@ -13,13 +13,15 @@
 from tests.lib.users_caller import Reply, stream
 
 #: Seconds for which servers are cold, and requests a second that one bears.
-COLD_TIME = 3.0
-COLD_RATE = 4.0
+COLD_S = 3.0
+COLD_REQUESTS_PER_S = 4.0
 #: What all routers together may send to one in any second.
-MOST = 1.5 * COLD_RATE + 5
-SERVICE = MappingProxyType({'coldStartS': COLD_TIME, 'coldPerS': COLD_RATE})
+MAX_REQUESTS = 1.5 * COLD_REQUESTS_PER_S + 5
+SERVICE = MappingProxyType(
+    {'coldStartS': COLD_S, 'coldPerS': COLD_REQUESTS_PER_S}
+)
 #: Seconds in which routers hear of a changed entry.
-HEAR_TIME = 1.0
+PROPAGATION_S = 1.0
 
 
 def start_three_engines() -> Deployment:
@@ -31,10 +33,10 @@
     put = []
     for name in servers:
         stored = deployment.read_object('servers', name)
-        cold = {**stored, 'coldLeftMs': int(1000 * (COLD_TIME + HEAR_TIME))}
+        cold = {**stored, 'coldLeftMs': int(1000 * (COLD_S + PROPAGATION_S))}
         put.append(['servers', name, cold])
     deployment.control('store', put=put)
-    time.sleep(HEAR_TIME)
+    time.sleep(PROPAGATION_S)
 
 
 def ask_stream(deployment: Deployment, router: str) -> Reply:
@@ -47,10 +49,10 @@
     deployment = start_three_engines()
     turn_cold(deployment, 'engine-2')
     since = time.monotonic()
-    asked = ask_all(deployment, ask_stream, COLD_TIME - 1)
+    asked = ask_all(deployment, ask_stream, COLD_S - 1)
     assert {one.reply.status for one in asked} == {200}
-    assert find_busiest(deployment, 'engine-2', since) <= MOST
-    assert find_busiest(deployment, 'engine-0', since) > MOST
+    assert find_busiest(deployment, 'engine-2', since) <= MAX_REQUESTS
+    assert find_busiest(deployment, 'engine-0', since) > MAX_REQUESTS
     deployment.stop()
 
 
@@ -59,8 +61,8 @@
     servers = ('engine-0', 'engine-1', 'engine-2')
     turn_cold(deployment, *servers)
     since = time.monotonic()
-    asked = ask_all(deployment, ask_stream, COLD_TIME - 1)
+    asked = ask_all(deployment, ask_stream, COLD_S - 1)
     for server in servers:
-        assert 0 < find_busiest(deployment, server, since) <= MOST
+        assert 0 < find_busiest(deployment, server, since) <= MAX_REQUESTS
     check_refusals(asked)
     deployment.stop()
--- a/tests/functional/test_control_fields.py
+++ b/tests/functional/test_control_fields.py
@@ -37,7 +37,7 @@
     ('Wait-Ms', '1000'),
 )
 #: Fields like these, which a later protocol may have.
-LATER = (
+FUTURE_CONTROL = (
     ('Kv-Evict', 'all'),
     ('X-Kv-Fetch', '127.0.0.1:9'),
     ('X-Hold-Ms', '60000'),
@@ -153,7 +153,7 @@
 
 
 def test_a_later_field_of_the_same_families_reaches_no_server() -> None:
-    arrived = find_arrived(LATER)
+    arrived = find_arrived(FUTURE_CONTROL)
     assert not arrived, arrived
 
 
--- a/tests/functional/test_control_paths.py
+++ b/tests/functional/test_control_paths.py
@@ -14,7 +14,7 @@
 from tools.polling import HANG_GUARD
 
 #: Paths that some servers read as one outside of the route.
-CLIMBING = (
+TRAVERSALS = (
     '/stream/../kv-list',
     '/stream/%2e%2e/hold-take',
     '/stream/a/.%2E/../kv-pin/aa',
@@ -61,7 +61,7 @@
     deployment.start_router('node-0')
     deployment.wait_ready('node-0')
     assert wait_until(lambda: ask(deployment, ALLOWED) == 200)
-    assert {ask(deployment, path) for path in CLIMBING} == {400}
+    assert {ask(deployment, path) for path in TRAVERSALS} == {400}
     assert {ask(deployment, path) for path in CALLS} == {404}
     assert set(list_paths(deployment)) == {ALLOWED}
     deployment.stop()
--- a/tests/functional/test_crashes.py
+++ b/tests/functional/test_crashes.py
@@ -81,7 +81,7 @@
     def has_left() -> bool:
         return own not in str(ask_caller_api(fleet, 1, '/v1/entry'))
 
-    assert wait_until(has_left, patience=5)
+    assert wait_until(has_left, timeout_s=5)
     assert read_rest(response).endswith(b'data: [DONE]\n\n')
     assert stopping.wait(timeout=HANG_GUARD) == 0
     assert not count_leases(fleet, 'router-0')
--- a/tests/functional/test_crashing_requests.py
+++ b/tests/functional/test_crashing_requests.py
@@ -12,7 +12,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import NamedTuple
 
-from tests.lib.deployment import START_PATIENCE, Deployment
+from tests.lib.deployment import START_TIMEOUT_S, Deployment
 from tests.lib.server_keeper import ServerKeeper
 from tests.lib.users_caller import Reply, send, stream
 from tests.lib.users_objects import make_route, make_stream_route
@@ -21,16 +21,16 @@
 CRASH = 'crash the server'
 #: Servers that a request may end before it counts as known, the seconds that
 #: all routers then have to learn it, and the sends that may still slip by.
-FREE_ENDS = 3
-LEARN_TIME = 3.0
-LATE_SENDS = 3
+MAX_CRASHES = 3
+PROPAGATION_S = 3.0
+MAX_LATE_SENDS = 3
 #: Seconds between two asks, and those of a play before and after all routers
 #: are lost.
-ASK_PAUSE = 0.4
-FIRST_PLAY = 11.0
-SECOND_PLAY = 6.0
+REQUEST_INTERVAL_S = 0.4
+FIRST_PHASE_S = 11.0
+SECOND_PHASE_S = 6.0
 #: Seconds for which a server is gone.
-DOWN_TIME = 2.0
+DOWN_S = 2.0
 ROUTES = (
     make_route('/ask/', type='safe', service='llm', attempts=2),
     make_stream_route('/stream/'),
@@ -48,7 +48,7 @@
     """Callers of one deployment; one of them ends servers."""
 
     def __init__(
-        self, path: str, engines: int = 4, down_time: float = DOWN_TIME
+        self, path: str, engines: int = 4, down_time: float = DOWN_S
     ) -> None:
         self.deployment = Deployment(routers=3, engines=engines).start(
             routes=ROUTES
@@ -67,7 +67,7 @@
                 self._turn += 1
                 pool.submit(self.ask, CRASH, router)
                 pool.submit(self._ask_innocent, router)
-                time.sleep(ASK_PAUSE)
+                time.sleep(REQUEST_INTERVAL_S)
 
     def lose_all_routers(self) -> None:
         for name in self.deployment.names:
@@ -79,9 +79,9 @@
 
     def count_late_ends(self) -> int:
         ends = self.keeper.ends
-        if len(ends) < FREE_ENDS:
+        if len(ends) < MAX_CRASHES:
             return 0
-        known_at = ends[FREE_ENDS - 1] + LEARN_TIME
+        known_at = ends[MAX_CRASHES - 1] + PROPAGATION_S
         return sum(ended > known_at for ended in ends)
 
     def stop(self) -> None:
@@ -100,7 +100,7 @@
 
 def list_failed(play: Play) -> list[int]:
     """List what innocent requests got after all could know."""
-    known_at = play.keeper.ends[FREE_ENDS - 1] + LEARN_TIME + DOWN_TIME
+    known_at = play.keeper.ends[MAX_CRASHES - 1] + PROPAGATION_S + DOWN_S
     return [
         one.reply.status
         for one in play.innocent
@@ -110,17 +110,17 @@
 
 def check_play(path: str) -> None:
     play = Play(path)
-    play.run(FIRST_PLAY)
+    play.run(FIRST_PHASE_S)
     first_late = play.count_late_ends()
     failed = list_failed(play)
     play.lose_all_routers()
-    play.run(SECOND_PLAY)
+    play.run(SECOND_PHASE_S)
     late = play.count_late_ends()
     play.stop()
-    assert len(play.keeper.ends) >= FREE_ENDS, 'the request ends servers'
-    assert first_late <= LATE_SENDS, (first_late, play.keeper.ends)
+    assert len(play.keeper.ends) >= MAX_CRASHES, 'the request ends servers'
+    assert first_late <= MAX_LATE_SENDS, (first_late, play.keeper.ends)
     assert not failed, f'innocent requests got {failed}'
-    assert late <= LATE_SENDS, f'{late} after all routers were lost'
+    assert late <= MAX_LATE_SENDS, f'{late} after all routers were lost'
 
 
 def test_a_call_that_ends_servers_is_known_to_all_routers() -> None:
@@ -135,18 +135,18 @@
     for name in play.deployment.backend_ports:
         if name.startswith('engine'):
             play.deployment.processes.running[name].kill()
-    time.sleep(DOWN_TIME + 1)
+    time.sleep(DOWN_S + 1)
 
 
 def ask_everywhere(play: Play, pool: ThreadPoolExecutor) -> None:
     for router in 4 * play.deployment.names:
         pool.submit(play.ask, 'hot', router)
-    time.sleep(ASK_PAUSE)
+    time.sleep(REQUEST_INTERVAL_S)
 
 
 def ask_once(play: Play, pool: ThreadPoolExecutor) -> None:
     pool.submit(play.ask, 'hot', play.deployment.names[0])
-    time.sleep(ASK_PAUSE)
+    time.sleep(REQUEST_INTERVAL_S)
 
 
 def wait_all_there(play: Play) -> None:
@@ -154,7 +154,7 @@
     play.keeper.wait_all_up()
     names = tuple(play.deployment.backend_ports)
     assert poll_until(
-        lambda: all(map(play.deployment.is_listening, names)), START_PATIENCE
+        lambda: all(map(play.deployment.is_listening, names)), START_TIMEOUT_S
     )
 
 
--- a/tests/functional/test_entry_answers.py
+++ b/tests/functional/test_entry_answers.py
@@ -10,7 +10,7 @@
 
 #: Seconds after which a router that is gone may not be named any more: until
 #: the others count as in touch, and 3 s.
-GONE_TIME = 4.0 + 3.0
+GONE_WITHIN_S = 4.0 + 3.0
 ASKS = 10
 
 
@@ -38,7 +38,7 @@
 
 
 def check_not_named(deployment: Deployment, gone_at: float) -> None:
-    time.sleep(max(0, gone_at + GONE_TIME - time.monotonic()))
+    time.sleep(max(0, gone_at + GONE_WITHIN_S - time.monotonic()))
     for _ in range(3):
         assert not is_named_by_others(deployment, 'node-2')
         time.sleep(0.5)
@@ -63,7 +63,7 @@
     process.terminate()
     stopping_at = time.monotonic()
     assert wait_until(lambda: not is_named_by_others(deployment, 'node-2'))
-    assert time.monotonic() < stopping_at + GONE_TIME
+    assert time.monotonic() < stopping_at + GONE_WITHIN_S
     process.wait()
     check_not_named(deployment, time.monotonic())
     deployment.start_router('node-2')
--- a/tests/functional/test_evacuations.py
+++ b/tests/functional/test_evacuations.py
@@ -11,9 +11,9 @@
 
 OTHER_HALL = 'curitiba'
 #: Seconds after which an evacuation is in force, with some for the machine.
-EVACUATE_TIME = EVACUATE_MS / 1000
+EVACUATION_S = EVACUATE_MS / 1000
 #: Seconds within which a refusal that waits for nothing is there.
-AT_ONCE = 0.5
+IMMEDIATE_REFUSAL_S = 0.5
 
 
 @functools.cache
@@ -50,7 +50,7 @@
     deployment = start_two_halls()
     connection, _ = begin_stream(deployment)
     evacuate(deployment, OTHER_HALL)
-    time.sleep(EVACUATE_TIME)
+    time.sleep(EVACUATION_S)
     before = count_arrivals(deployment, 'engine-1')
     replies = ask_all(deployment, 10)
     assert {reply.status for reply in replies} == {200}
@@ -74,14 +74,14 @@
 def test_a_service_without_another_hall_is_refused_at_once() -> None:
     deployment = start_two_halls()
     evacuate(deployment, HALL, OTHER_HALL)
-    time.sleep(EVACUATE_TIME)
+    time.sleep(EVACUATION_S)
     before = count_arrivals(deployment, 'plain-0')
     for router in deployment.names:
         asked_at = time.monotonic()
         reply = send(deployment, '/order/1', router)
         assert reply.status == 503
         assert float(reply.headers['retry-after']) > 0
-        assert time.monotonic() - asked_at < AT_ONCE
+        assert time.monotonic() - asked_at < IMMEDIATE_REFUSAL_S
         assert stream(deployment, router=router).status == 503
     assert count_arrivals(deployment, 'plain-0') == before
     take_back(deployment, HALL, OTHER_HALL)
@@ -106,7 +106,7 @@
         ['evacuations', 'JOINVILLE', None],
     ]
     deployment.control('store', put=foreign)
-    time.sleep(EVACUATE_TIME)
+    time.sleep(EVACUATION_S)
     assert send(deployment, '/order/1').status == 200
     assert {reply.status for reply in ask_all(deployment, 2)} == {200}
     take_back(deployment, *(name for _, name, _ in foreign))
@@ -119,7 +119,7 @@
     # The operator's write is done; it is confirmed with the store's return.
     evacuate(deployment, OTHER_HALL)
     deployment.control('store', away=False)
-    time.sleep(EVACUATE_TIME)
+    time.sleep(EVACUATION_S)
     before = count_arrivals(deployment, 'engine-1')
     assert {reply.status for reply in ask_all(deployment, 5)} == {200}
     assert count_arrivals(deployment, 'engine-1') == before
--- a/tests/functional/test_foreign_entries.py
+++ b/tests/functional/test_foreign_entries.py
@@ -18,7 +18,7 @@
 
 #: Seconds in which every way to learn of an entry is used: a watch, and a
 #: read of the whole list 1.4 s after the one before.
-LEARN_TIME = 3.0
+PROPAGATION_S = 3.0
 
 
 def put_entry(deployment: Deployment, name: str, **fields: Any) -> None:
@@ -41,7 +41,7 @@
 
 def check_learning(deployment: Deployment) -> None:
     """Check that servers are used, and that what changes is still learned."""
-    time.sleep(LEARN_TIME)
+    time.sleep(PROPAGATION_S)
     assert count_served(deployment) == 6
     put_entry(deployment, 'plain-0', state='draining')
     assert wait_served(deployment, served=False)
@@ -89,7 +89,7 @@
     put_entry(deployment, 'plain-0', born=2_000, sequence=1)
     assert wait_served(deployment, served=True)
     # Word of the earlier start still goes round among routers.
-    time.sleep(LEARN_TIME)
+    time.sleep(PROPAGATION_S)
     assert count_served(deployment) == 6
     assert count_events(deployment, 'server_started_again') >= 1
     deployment.stop()
--- a/tests/functional/test_late_configuration.py
+++ b/tests/functional/test_late_configuration.py
@@ -28,13 +28,13 @@
 from tests.soak.proxy import STALE
 
 #: Seconds until a change is in force, as the users' settings say.
-PROMISED = 2.0
+PROMISED_S = 2.0
 #: Seconds after that for which callers ask.
-ASKED = 3.0
+REQUESTS_S = 3.0
 #: Seconds until requests have reached a router that stands still.
-PAUSE = 0.5
+ARRIVAL_S = 0.5
 #: Seconds that the store takes for an answer, so that no read comes first.
-LATENCY = 0.2
+LATENCY_S = 0.2
 
 
 def add_route(deployment: Deployment) -> float:
@@ -47,13 +47,13 @@
 
 def wait_for_promise(since: float) -> None:
     """Wait until a change has to be in force."""
-    time.sleep(max(0, since + PROMISED - time.monotonic()))
+    time.sleep(max(0, since + PROMISED_S - time.monotonic()))
 
 
 def ask_new_route(deployment: Deployment, since: float) -> Iterator[int]:
     """Ask the new route from when it has to be known; tell the answers."""
     wait_for_promise(since)
-    while time.monotonic() < since + PROMISED + ASKED:
+    while time.monotonic() < since + PROMISED_S + REQUESTS_S:
         yield send(deployment, '/new/1').status
         time.sleep(0.1)
 
@@ -62,13 +62,13 @@
     # Its loop stands still from before the change until after the promise,
     # its watch has heard nothing, and requests wait when it goes on.
     deployment = Deployment(routers=1).start()
-    deployment.control('store', deaf=True, latency=LATENCY)
+    deployment.control('store', deaf=True, latency=LATENCY_S)
     process = deployment.processes.running['node-0']
     process.send_signal(signal.SIGSTOP)
     wait_for_promise(add_route(deployment))
     with ThreadPoolExecutor() as caller:
         asked = [caller.submit(send, deployment, '/new/1') for _ in range(4)]
-        time.sleep(PAUSE)
+        time.sleep(ARRIVAL_S)
         process.send_signal(signal.SIGCONT)
     answers = {one.result().status for one in asked}
     assert 404 not in answers, answers
--- a/tests/functional/test_leaving_servers.py
+++ b/tests/functional/test_leaving_servers.py
@@ -17,8 +17,8 @@
 from tests.lib.users_objects import make_next_start
 
 #: Seconds after which a server that leaves gets nothing more.
-LEAVE_TIME = 2.0
-ASK_TIME = 2.0
+LEAVING_IN_FORCE_S = 2.0
+REQUESTS_S = 2.0
 
 
 def say_leaving(deployment: Deployment, server: str) -> None:
@@ -27,14 +27,14 @@
 
 def count_late(deployment: Deployment, server: str, since: float) -> int:
     arrivals = deployment.control(server)['arrivals']
-    return sum(at > since + LEAVE_TIME for _, at in arrivals)
+    return sum(at > since + LEAVING_IN_FORCE_S for _, at in arrivals)
 
 
 def test_a_server_that_says_that_it_leaves_gets_nothing_new() -> None:
     deployment = start_plenty(3, 2)
     say_leaving(deployment, 'engine-1')
     since = time.monotonic()
-    asked = ask_all(deployment, ask_stream, LEAVE_TIME + ASK_TIME)
+    asked = ask_all(deployment, ask_stream, LEAVING_IN_FORCE_S + REQUESTS_S)
     late = count_late(deployment, 'engine-1', since)
     statuses = Counter(one.reply.status for one in asked)
     assert not late, f'{late} of {len(asked)}'
@@ -48,7 +48,7 @@
     for server in ('engine-0', 'engine-2'):
         deployment.control(server, fault='cut')
     since = time.monotonic()
-    ask_all(deployment, ask_stream, LEAVE_TIME + ASK_TIME)
+    ask_all(deployment, ask_stream, LEAVING_IN_FORCE_S + REQUESTS_S)
     assert not count_late(deployment, 'engine-1', since)
     deployment.stop()
 
@@ -57,7 +57,7 @@
     deployment = start_plenty(3, 1)
     say_leaving(deployment, 'plain-0')
     since = time.monotonic()
-    asked = ask_all(deployment, ask_price, LEAVE_TIME + ASK_TIME)
+    asked = ask_all(deployment, ask_price, LEAVING_IN_FORCE_S + REQUESTS_S)
     assert not count_late(deployment, 'plain-0', since)
     check_refusals(asked)
     deployment.stop()
@@ -72,6 +72,6 @@
     started = make_next_start('engine-1', spec)
     deployment.control('store', put=[started])
     since = time.monotonic()
-    ask_all(deployment, ask_stream, LEAVE_TIME + ASK_TIME)
+    ask_all(deployment, ask_stream, LEAVING_IN_FORCE_S + REQUESTS_S)
     assert count_late(deployment, 'engine-1', since)
     deployment.stop()
--- a/tests/functional/test_planned_stops.py
+++ b/tests/functional/test_planned_stops.py
@@ -14,11 +14,11 @@
 from tools.polling import HANG_GUARD
 
 #: Seconds from SIGTERM to the kill in the settings of these routers.
-GRACE = 8
+GRACE_S = 8
 #: A stream of 1.5 s, whose caller would wait for 12 s.
-PAUSE = 0.05
+EVENT_INTERVAL_S = 0.05
 TOKENS = '100,30'
-PATIENCE = '12000'
+DEADLINE_MS = '12000'
 ENGINES = ('engine-0', 'engine-1')
 #: Streams may take far longer than a stop.
 ROUTES = (
@@ -26,16 +26,16 @@
     make_stream_route('/stream/', timeoutMs=60_000),
 )
 #: Statuses that a caller may get of a router that is stopping.
-TRUE_ANSWERS = frozenset((200, 503))
+ALLOWED_STATUSES = frozenset((200, 503))
 #: Those of a call that ran; the second when its time is over, as on a machine
 #: that is busy.
-TOLD = frozenset((200, 504))
+STATUSES_OF_RUN_CALLS = frozenset((200, 504))
 
 
 def start_slow_engines(prepaid: int = 200_000) -> Deployment:
     deployment = Deployment(routers=1).start(prepaid=prepaid, routes=ROUTES)
     for name in ENGINES:
-        deployment.control(name, pause=PAUSE)
+        deployment.control(name, pause=EVENT_INTERVAL_S)
     assert stream(deployment, tokens='100,2').status == 200
     return deployment
 
@@ -44,7 +44,7 @@
     """Send SIGTERM; a router that does not end is killed, but not yet."""
     stopped = deployment.processes.running['node-0']
     stopped.send_signal(signal.SIGTERM)
-    guard = threading.Timer(3 * GRACE, stopped.kill)
+    guard = threading.Timer(3 * GRACE_S, stopped.kill)
     guard.daemon = True
     guard.start()
     return stopped
@@ -53,7 +53,7 @@
 def try_stream(deployment: Deployment) -> Reply | None:
     """Ask for a stream over a new connection; None when there is no answer."""
     try:
-        return stream(deployment, tokens=TOKENS, X_Deadline_Ms=PATIENCE)
+        return stream(deployment, tokens=TOKENS, X_Deadline_Ms=DEADLINE_MS)
     except (OSError, http_client.HTTPException):
         return None
 
@@ -86,7 +86,9 @@
     statuses = {reply.status for reply in replies if reply}
     assert not list_cut_runs(deployment)
     assert all(reply.whole for reply in replies if reply)
-    assert statuses == TRUE_ANSWERS, 'served at first, then refused as not run'
+    assert statuses == ALLOWED_STATUSES, (
+        'served at first, then refused as not run'
+    )
     deployment.stop()
 
 
@@ -94,19 +96,19 @@
     """How callers call while a router stops.
 
     :param takes: seconds that a call takes at the server.
-    :param patience: milliseconds that its caller waits.
+    :param deadline_ms: milliseconds that its caller waits.
     :param pause: seconds between two calls.
     """
 
     takes: float
-    patience: str
+    deadline_ms: str
     pause: float
 
 
-def try_call(deployment: Deployment, patience: str) -> Reply | None:
+def try_call(deployment: Deployment, deadline_ms: str) -> Reply | None:
     """Make a call that may run once; None when there is no answer."""
     try:
-        return send(deployment, '/order/1', X_Deadline_Ms=patience)
+        return send(deployment, '/order/1', X_Deadline_Ms=deadline_ms)
     except (OSError, http_client.HTTPException):
         return None
 
@@ -118,7 +120,9 @@
     asked = []
     with ThreadPoolExecutor(60) as callers:
         while stopped.poll() is None:
-            asked.append(callers.submit(try_call, deployment, calls.patience))
+            asked.append(
+                callers.submit(try_call, deployment, calls.deadline_ms)
+            )
             time.sleep(calls.pause)
     assert stopped.returncode == 0
     replies = [one.result() for one in asked]
@@ -126,10 +130,16 @@
 
 
 def check_all_were_told(deployment: Deployment, replies: list[Reply]) -> None:
-    told = {reply.request_id for reply in replies if reply.status in TOLD}
+    told = {
+        reply.request_id
+        for reply in replies
+        if reply.status in STATUSES_OF_RUN_CALLS
+    }
     ran = {run['id'] for run in deployment.control('plain-0')['runs']}
     assert ran <= told, 'a call ran whose caller was not told so'
-    assert {reply.status for reply in replies} <= TRUE_ANSWERS | TOLD
+    assert {
+        reply.status for reply in replies
+    } <= ALLOWED_STATUSES | STATUSES_OF_RUN_CALLS
 
 
 def test_nothing_is_taken_while_tokens_are_given_back() -> None:
@@ -138,7 +148,7 @@
     # and took requests until its process ended.
     deployment = start_slow_engines()
     deployment.control('store', latency=0.7)
-    calls = Calls(takes=0.3, patience='1500', pause=0.4)
+    calls = Calls(takes=0.3, deadline_ms='1500', pause=0.4)
     check_all_were_told(deployment, call_until_gone(deployment, calls))
     names = [event['event'] for event in deployment.read_events('node-0')]
     closed = names.index('admission_closed')
@@ -152,7 +162,7 @@
     # Calls that overlap all the time: the last wait is for those that were let
     # in just before admission closed.
     deployment = start_slow_engines()
-    calls = Calls(takes=1.5, patience='2000', pause=0.1)
+    calls = Calls(takes=1.5, deadline_ms='2000', pause=0.1)
     check_all_were_told(deployment, call_until_gone(deployment, calls))
     deployment.stop()
 
@@ -229,9 +239,9 @@
     # stop with a silent store ended 0.29 s before the kill.
     deployment = start_slow_engines()
     deployment.control('store', silent=True)
-    calls = Calls(takes=0.3, patience='1500', pause=0.4)
+    calls = Calls(takes=0.3, deadline_ms='1500', pause=0.4)
     check_all_were_told(deployment, call_until_gone(deployment, calls))
     events = deployment.read_events('node-0')
     at = {event['event']: event['at'] for event in events}
-    assert at['stopped'] - at['stopping'] < GRACE
+    assert at['stopped'] - at['stopping'] < GRACE_S
     deployment.stop()
--- a/tests/functional/test_resting_servers.py
+++ b/tests/functional/test_resting_servers.py
@@ -18,14 +18,14 @@
 
 #: Seconds of rest that servers ask for, those after which a router keeps to
 #: it, and requests that it may send nevertheless.
-REST = 2.5
-KNOW_TIME = 0.5
-MOST = 2
+BACKOFF_S = 2.5
+BACKOFF_IN_FORCE_S = 0.5
+MAX_REQUESTS = 2
 
 
 def ask_for_rest(deployment: Deployment, *servers: str) -> None:
     for server in servers:
-        fields = {'retry-after': str(REST)}
+        fields = {'retry-after': str(BACKOFF_S)}
         deployment.control(server, fault='shed', fields=fields)
 
 
@@ -39,7 +39,9 @@
     arrivals = deployment.control(server)['arrivals']
     times = sorted(at for _, at in arrivals if at > since)
     first = times[0]
-    return sum(first + KNOW_TIME < at < first + REST for at in times)
+    return sum(
+        first + BACKOFF_IN_FORCE_S < at < first + BACKOFF_S for at in times
+    )
 
 
 def ask_while_resting(
@@ -48,9 +50,9 @@
     """Ask while servers rest; check that each is left alone."""
     ask_for_rest(deployment, *servers)
     since = time.monotonic()
-    asked = ask_all(deployment, ask, REST)
+    asked = ask_all(deployment, ask, BACKOFF_S)
     for server in servers:
-        assert count_early(deployment, server, since) <= MOST, server
+        assert count_early(deployment, server, since) <= MAX_REQUESTS, server
     return asked
 
 
@@ -59,7 +61,7 @@
     asked = ask_while_resting(deployment, ask_stream, 'engine-1')
     assert {one.reply.status for one in asked} == {200}
     end_rest(deployment, 'engine-1')
-    time.sleep(REST)
+    time.sleep(BACKOFF_S)
     asked = ask_all(deployment, ask_stream, 1)
     assert any(b'engine-1' in one.reply.body for one in asked)
     deployment.stop()
--- a/tests/functional/test_single_server_crashes.py
+++ b/tests/functional/test_single_server_crashes.py
@@ -21,12 +21,12 @@
 PATH = '/ask/hot/slow'
 SLOW = ('slow a', 'slow b')
 #: Seconds of a play, and those in which it has to be over for slow requests.
-PLAY_TIME = 20.0
-SERVED_TIME = 5.0
+PHASE_S = 20.0
+SERVED_WITHIN_S = 5.0
 #: Seconds until the server is back.
-DOWN_TIME = 1.0
+DOWN_S = 1.0
 #: Seconds from an answer until its caller asks anew.
-RETRY_PAUSE = 0.02
+RETRY_DELAY_S = 0.02
 OK = 200
 
 
@@ -39,13 +39,13 @@
     """Ask anew as soon as there is an answer."""
     while not ending.is_set():
         play.ask(body, router)
-        time.sleep(RETRY_PAUSE)
+        time.sleep(RETRY_DELAY_S)
 
 
 def run_play(play: Play) -> None:
     """Ask for what ends the server at each router in turn, beside slow ones."""
     ending = threading.Event()
-    ends_at = time.monotonic() + PLAY_TIME
+    ends_at = time.monotonic() + PHASE_S
     with ThreadPoolExecutor() as pool:
         for body, router in itertools.product(SLOW, play.deployment.names):
             pool.submit(ask_all_the_time, play, body, router, ending)
@@ -59,7 +59,7 @@
 
 def list_unserved(play: Play) -> set[str]:
     """List the slow requests that are still refused after a while."""
-    until = time.monotonic() + SERVED_TIME
+    until = time.monotonic() + SERVED_WITHIN_S
     unserved = set(SLOW)
     while unserved and time.monotonic() < until:
         for body in tuple(unserved):
@@ -69,7 +69,7 @@
 
 
 def test_slow_requests_beside_it_do_not_hide_who_ends_the_only_server() -> None:
-    play = Play(PATH, engines=1, down_time=DOWN_TIME)
+    play = Play(PATH, engines=1, down_time=DOWN_S)
     run_play(play)
     late = play.count_late_ends()
     unserved = list_unserved(play)
--- a/tests/functional/test_suspended_routers.py
+++ b/tests/functional/test_suspended_routers.py
@@ -21,13 +21,13 @@
 
 #: Seconds for which the machine is suspended; a change has to be in force
 #: after 2 s.
-SUSPENDED = 3.0
+SUSPENSION_S = 3.0
 #: Seconds until requests have reached a router that stands still.
-PAUSE = 0.5
+ARRIVAL_S = 0.5
 #: Seconds that the store takes for an answer, so that no read comes first.
-LATENCY = 0.2
+LATENCY_S = 0.2
 #: Milliseconds that a caller waits, so that its time ends in the suspension.
-PATIENCE = '1500'
+DEADLINE_MS = '1500'
 
 
 def start_deployment() -> Deployment:
@@ -41,7 +41,7 @@
     """Suspend the router; what is done meanwhile happens while it sleeps."""
     process = deployment.processes.running['node-0']
     process.send_signal(signal.SIGSTOP)
-    until = time.monotonic() + SUSPENDED
+    until = time.monotonic() + SUSPENSION_S
     yield
     time.sleep(max(0, until - time.monotonic()))
     process.send_signal(signal.SIGCONT)
@@ -63,11 +63,11 @@
 
 def test_a_router_that_wakes_up_refuses_nothing_by_what_it_knew() -> None:
     deployment = start_deployment()
-    deployment.control('store', deaf=True, latency=LATENCY)
+    deployment.control('store', deaf=True, latency=LATENCY_S)
     with ThreadPoolExecutor() as caller:
         with suspend(deployment):
             add_route(deployment)
-            time.sleep(SUSPENDED - PAUSE)
+            time.sleep(SUSPENSION_S - ARRIVAL_S)
             asked = [
                 caller.submit(send, deployment, '/new/1') for _ in range(4)
             ]
@@ -84,7 +84,7 @@
 
 def sleep_through(deployment: Deployment) -> None:
     with suspend(deployment):
-        time.sleep(PAUSE)
+        time.sleep(ARRIVAL_S)
 
 
 def test_the_time_of_a_request_runs_on_while_its_router_sleeps() -> None:
@@ -92,7 +92,7 @@
     deployment.control('plain-0', fault='mute')
     with ThreadPoolExecutor() as caller:
         asked = caller.submit(
-            send, deployment, '/order/1', X_Deadline_Ms=PATIENCE
+            send, deployment, '/order/1', X_Deadline_Ms=DEADLINE_MS
         )
         assert wait_until(lambda: bool(find_events(deployment, 'send')))
         sleep_through(deployment)
@@ -101,7 +101,9 @@
         lambda: bool(read_times_of_refusals(deployment, 'too_late'))
     )
     took = read_times_of_refusals(deployment, 'too_late')
-    assert took[0] >= SUSPENDED, f'it took {took} s by the clock of the router'
+    assert took[0] >= SUSPENSION_S, (
+        f'it took {took} s by the clock of the router'
+    )
     deployment.stop()
 
 
@@ -110,5 +112,5 @@
     sleep_through(deployment)
     assert wait_until(lambda: bool(find_events(deployment, 'suspended')))
     told = find_events(deployment, 'suspended')
-    assert told[0]['asleep_s'] >= SUSPENDED - PAUSE
+    assert told[0]['asleep_s'] >= SUSPENSION_S - ARRIVAL_S
     deployment.stop()
--- a/tests/functional/test_tokens_after_losses.py
+++ b/tests/functional/test_tokens_after_losses.py
@@ -11,7 +11,7 @@
 
 PREPAID = 150_000
 #: Part of what was paid that losses of routers may cost callers in all.
-MOST_LOST = 0.2
+MAX_LOST_SHARE = 0.2
 LOSSES = 4
 #: Streams of a quiet workspace between two losses, over all routers.
 STREAMS = 12
@@ -42,4 +42,4 @@
     left = PREPAID - count_streamed(deployment)
     ledger = deployment.read_ledger('joinville')
     deployment.stop()
-    assert left <= MOST_LOST * PREPAID, (left, ledger)
+    assert left <= MAX_LOST_SHARE * PREPAID, (left, ledger)
--- a/tests/functional/test_unread_events.py
+++ b/tests/functional/test_unread_events.py
@@ -17,7 +17,7 @@
 from tools.polling import HANG_GUARD
 
 #: Seconds for which the link is silent; an event comes each 0.01 s.
-SILENCE = 0.6
+SILENCE_S = 0.6
 PROMPT, MOST = 100, 200
 
 
@@ -81,7 +81,7 @@
     linked = LinkedDeployment(engines=1)
     answer = linked.begin_stream()
     linked.links.switch('engine-0', 'silent')
-    time.sleep(SILENCE)
+    time.sleep(SILENCE_S)
     answer.close()
     assert wait_until(lambda: has_logged(linked, 'caller_left'))
     charged = linked.stop_router()
@@ -94,7 +94,7 @@
     answer = linked.begin_stream()
     first = linked.find_running()
     linked.links.switch(first, 'silent')
-    time.sleep(SILENCE)
+    time.sleep(SILENCE_S)
     linked.links.switch(first, 'reset')
     assert answer.read().endswith(b'\n\n')
     assert wait_until(lambda: has_logged(linked, 'served'))
--- a/tests/lib/backend_server.py
+++ b/tests/lib/backend_server.py
@@ -26,17 +26,17 @@
 
 from tests.lib.stand_ins import make_parser, run_app
 
-EVENT_PAUSE = 0.01
+EVENT_INTERVAL_S = 0.01
 #: Duration of a slow call, and interval of checks for a disconnected caller.
-SLOW_TIME = 1.5
-LOOK_PAUSE = 0.05
+SLOW_CALL_S = 1.5
+CHECK_INTERVAL_S = 0.05
 #: Prefix of a body that ends the process, and the delay until it does.
 CRASH = b'crash'
-CRASH_TIME = 0.05
+CRASH_DELAY_S = 0.05
 state: dict[str, Any] = {
     'fault': '',
     'name': '',
-    'pause': EVENT_PAUSE,
+    'pause': EVENT_INTERVAL_S,
     'delay': 0,
     'fields': {},
 }
@@ -74,14 +74,14 @@
 
 async def _run(request: Request, head: dict[str, str]) -> Response:
     body = await request.body()
-    run = _note_run(request, body)
+    run = _record_run(request, body)
     if body.startswith(CRASH):
-        await asyncio.sleep(CRASH_TIME)
+        await asyncio.sleep(CRASH_DELAY_S)
         os._exit(1)
     if state['fault'] == 'mute':
         await asyncio.sleep(30)
     if state['fault'] == 'error':
-        _note_end(run)
+        _record_end(run)
         return Response('failed', 500, head)
     if request.url.path.startswith('/stream/'):
         head['content-type'] = 'text/event-stream'
@@ -89,11 +89,11 @@
     await asyncio.sleep(state['delay'])
     if request.url.path.endswith('/slow'):
         await _work(request)
-    _note_end(run)
+    _record_end(run)
     return Response('done', 200, head)
 
 
-def _note_run(request: Request, body: bytes) -> dict[str, Any]:
+def _record_run(request: Request, body: bytes) -> dict[str, Any]:
     run = {
         'id': request.headers.get('x-attempt-id'),
         'path': str(request.url.path),
@@ -109,19 +109,19 @@
 
 
 async def _work(request: Request) -> None:
-    done_at = time.monotonic() + SLOW_TIME
+    done_at = time.monotonic() + SLOW_CALL_S
     while time.monotonic() < done_at and not await request.is_disconnected():
-        await asyncio.sleep(LOOK_PAUSE)
+        await asyncio.sleep(CHECK_INTERVAL_S)
 
 
 async def _make_events(request: Request, run: dict[str, Any]) -> Any:
     with contextlib.ExitStack() as at_end:
-        at_end.callback(_note_end, run)
+        at_end.callback(_record_end, run)
         async for event in _list_events(request, run):
             yield event
 
 
-def _note_end(run: dict[str, Any]) -> None:
+def _record_end(run: dict[str, Any]) -> None:
     run['ended'] = time.monotonic()
 
 
--- a/tests/lib/crash_days.py
+++ b/tests/lib/crash_days.py
@@ -13,15 +13,15 @@
 from dykemast._internal.operations.crash_table import CrashTable
 
 #: Seconds of a step, of a day, and until a server restarts.
-STEP = 0.05
-DAY = 60.0
-DOWN_TIME = 3.0
+STEP_S = 0.05
+DAY_S = 60.0
+DOWN_S = 3.0
 SERVERS = 9
 #: Routers review suspects every 0.2 s.
-STEPS_A_REVIEW = 4
+STEPS_PER_REVIEW = 4
 #: Seconds until the first event of a run, and longest duration of a run.
-READ_TIME = 0.3
-LONGEST_RUN = 5.0
+FIRST_EVENT_S = 0.3
+LONGEST_RUN_S = 5.0
 SERVICE = 'llm'
 
 
@@ -56,7 +56,7 @@
 
 GUILTY = 'guilty'
 #: Seconds from the send of a crashing request to the crash of its server.
-CRASH_TIME = 0.15
+CRASH_DELAY_S = 0.15
 
 
 class CrashDay:
@@ -76,24 +76,24 @@
         self.guilty_ends = 0
 
     def play(self) -> 'CrashDay':
-        for step in range(round(DAY / STEP)):
-            now = step * STEP
+        for step in range(round(DAY_S / STEP_S)):
+            now = step * STEP_S
             self._ask(now)
             self._end_runs(now)
             self._end_servers(now)
-            if not step % STEPS_A_REVIEW:
+            if not step % STEPS_PER_REVIEW:
                 self.condemned.update(review_suspects(self.table, now))
         return self
 
     def _ask(self, now: float) -> None:
         chance = self._chance
-        if chance.random() < self._day.asks * STEP:
+        if chance.random() < self._day.asks * STEP_S:
             is_hot = chance.random() < self._day.hot
             name = 'hot' if is_hot else f'request-{chance.random()}'
-            lasts = chance.uniform(READ_TIME, LONGEST_RUN)
+            lasts = chance.uniform(FIRST_EVENT_S, LONGEST_RUN_S)
             self._send(name, now, lasts)
-        if self._day.guilty and now % self._day.guilty < STEP:
-            self._send(GUILTY, now, CRASH_TIME)
+        if self._day.guilty and now % self._day.guilty < STEP_S:
+            self._send(GUILTY, now, CRASH_DELAY_S)
 
     def _send(self, request: str, now: float, lasts: float) -> None:
         up = [one for one, until in self._down_until.items() if until <= now]
@@ -103,7 +103,7 @@
 
     def _end_runs(self, now: float) -> None:
         for begun in self._runs:
-            if READ_TIME + SUSPECT_WINDOW_S < now - begun.sent_at:
+            if FIRST_EVENT_S + SUSPECT_WINDOW_S < now - begun.sent_at:
                 clear_suspect(self.table, begun.request, now)
         over = [one for one in self._runs if one.ends_at <= now]
         for run in over:
@@ -117,9 +117,9 @@
     def _end_servers(self, now: float) -> None:
         day = self._day
         for server in range(SERVERS):
-            if self._chance.random() < day.deaths * STEP / SERVERS:
+            if self._chance.random() < day.deaths * STEP_S / SERVERS:
                 self._end_server(server, now)
-        if day.losses and now and now % day.losses < STEP:
+        if day.losses and now and now % day.losses < STEP_S:
             for server in range(SERVERS):
                 self._end_server(server, now)
 
@@ -129,15 +129,15 @@
         ended = [one for one in self._runs if one.server == server]
         self._runs = [one for one in self._runs if one.server != server]
         up = sum(
-            until <= now or until == now + DOWN_TIME
+            until <= now or until == now + DOWN_S
             for until in self._down_until.values()
         )
-        self._down_until[server] = now + DOWN_TIME
+        self._down_until[server] = now + DOWN_S
         self._starts[server] += 1
         suspects = tuple(
             Suspect(one.request, now - one.sent_at)
             for one in ended
-            if now - one.sent_at - READ_TIME <= SUSPECT_WINDOW_S
+            if now - one.sent_at - FIRST_EVENT_S <= SUSPECT_WINDOW_S
         )
         name = f'{server}/{self._starts[server]}'
         crash = ServerCrash(name, 0, suspects, SERVICE, up - 1)
--- a/tests/lib/crowd.py
+++ b/tests/lib/crowd.py
@@ -10,7 +10,7 @@
 
 CALLERS = 16
 #: Longest duration of an immediate refusal.
-AT_ONCE = 1.0
+IMMEDIATE_REFUSAL_S = 1.0
 
 Ask = Callable[[Deployment, str], Reply]
 
@@ -73,4 +73,4 @@
     for one in refused:
         assert one.reply.status == 503
         assert float(one.reply.headers['retry-after']) > 0
-        assert one.took < AT_ONCE
+        assert one.took < IMMEDIATE_REFUSAL_S
--- a/tests/lib/deployment.py
+++ b/tests/lib/deployment.py
@@ -18,7 +18,7 @@
 from tools.ports import choose_network, find_ports
 
 PORT_NAMES = ('caller', 'readiness', 'entry', 'peer', 'metrics')
-START_PATIENCE = 30
+START_TIMEOUT_S = 30
 
 
 class Deployment:
@@ -89,7 +89,7 @@
         def is_over() -> bool:
             return process.poll() is not None or _answers_callers(url)
 
-        over = poll_until(is_over, START_PATIENCE)
+        over = poll_until(is_over, START_TIMEOUT_S)
         if not over or process.poll() is not None:
             raise TimeoutError(self.processes.read_log(name))
 
--- a/tests/lib/fixtures.py
+++ b/tests/lib/fixtures.py
@@ -35,9 +35,9 @@
     return [bill for bill in bills if bill['key'] == f'joinville|{key}']
 
 
-def wait_until(is_done: Callable[[], bool], patience: float = 20) -> bool:
+def wait_until(is_done: Callable[[], bool], timeout_s: float = 20) -> bool:
     """Poll until the condition is true or the timeout is over."""
-    return poll_until(is_done, patience)
+    return poll_until(is_done, timeout_s)
 
 
 def ask_caller_api(fleet: Fleet, router: int, path: str) -> Any:
--- a/tests/lib/object_store.py
+++ b/tests/lib/object_store.py
@@ -77,7 +77,7 @@
 store = Store()
 
 
-async def _meddle(request: Request) -> Response | None:
+async def _inject_fault(request: Request) -> Response | None:
     store.calls[request.method] += 1
     await asyncio.sleep(store.faults['latency'])
     if store.faults['silent']:
@@ -116,7 +116,7 @@
 
 
 async def write(request: Request) -> Response:
-    bad = await _meddle(request)
+    bad = await _inject_fault(request)
     if bad:
         return bad
     body = await request.json()
@@ -130,7 +130,7 @@
 
 
 async def read(request: Request) -> Response:
-    bad = await _meddle(request)
+    bad = await _inject_fault(request)
     kind = request.path_params['kind']
     name = request.path_params['name']
     found = store.kinds.get(kind, {}).get(name)
@@ -140,7 +140,7 @@
 
 
 async def delete(request: Request) -> Response:
-    bad = await _meddle(request)
+    bad = await _inject_fault(request)
     if bad:
         return bad
     kind = request.path_params['kind']
@@ -150,7 +150,7 @@
 
 
 async def list_or_watch(request: Request) -> Response:
-    bad = await _meddle(request)
+    bad = await _inject_fault(request)
     if bad:
         return bad
     kind = request.path_params['kind']
--- a/tests/lib/platform.py
+++ b/tests/lib/platform.py
@@ -28,7 +28,7 @@
 changed = asyncio.Condition()
 
 
-async def _meddle(kind: str) -> Response | None:
+async def _inject_fault(kind: str) -> Response | None:
     counts[kind] += 1
     second = int(time.monotonic())
     calls[second] += 1
@@ -41,7 +41,7 @@
 
 
 async def get_object(request: Request) -> Response:
-    bad = await _meddle('reads')
+    bad = await _inject_fault('reads')
     found = store.get(request.path_params['name'])
     if bad or not found:
         return bad or JSONResponse({}, 404)
@@ -50,7 +50,7 @@
 
 async def put_object(request: Request) -> Response:
     body = (await request.body()).decode()
-    bad = await _meddle('writes')
+    bad = await _inject_fault('writes')
     if bad:
         return bad
     name = request.path_params['name']
@@ -74,7 +74,7 @@
 
 
 async def list_objects(request: Request) -> Response:
-    bad = await _meddle('reads')
+    bad = await _inject_fault('reads')
     prefix = request.query_params.get('prefix', '')
     found = [
         [name, entry[1]]
@@ -85,7 +85,7 @@
 
 
 async def watch(request: Request) -> Response:
-    bad = await _meddle('watches')
+    bad = await _inject_fault('watches')
     prefix = request.query_params['prefix']
     mark = int(request.query_params['mark'])
 
@@ -105,7 +105,7 @@
 
 
 async def list_instances(request: Request) -> Response:
-    bad = await _meddle('reads')
+    bad = await _inject_fault('reads')
     old = time.monotonic() - faults['lag']
     shown = [entry for entry in history if entry[0] <= old]
     return bad or JSONResponse(shown[-1][1])
--- a/tests/lib/server_keeper.py
+++ b/tests/lib/server_keeper.py
@@ -8,7 +8,7 @@
 from tests.lib.users_objects import make_next_start
 
 #: Interval of checks for crashed servers.
-LOOK_PAUSE = 0.02
+CHECK_INTERVAL_S = 0.02
 
 
 class ServerKeeper:
@@ -38,7 +38,7 @@
     def wait_all_up(self) -> None:
         """Wait until no server is down."""
         while self._back_at:
-            time.sleep(LOOK_PAUSE)
+            time.sleep(CHECK_INTERVAL_S)
 
     def stop(self) -> None:
         self._stopping.set()
@@ -46,11 +46,11 @@
 
     def _watch(self) -> None:
         names = set(self._deployment.backend_ports) - {'store'}
-        while not self._stopping.wait(LOOK_PAUSE):
+        while not self._stopping.wait(CHECK_INTERVAL_S):
             for name in names:
-                self._look(name, time.monotonic())
+                self._check_server(name, time.monotonic())
 
-    def _look(self, name: str, now: float) -> None:
+    def _check_server(self, name: str, now: float) -> None:
         process = self._deployment.processes.running[name]
         back_at = self._back_at.get(name)
         if back_at is None and process.poll() is not None:
--- a/tests/lib/suspended_router.py
+++ b/tests/lib/suspended_router.py
@@ -8,12 +8,12 @@
 
 #: A longer interval between two clock reads is a suspension: the background
 #: loops of a router read the clock many times a second.
-SHORTEST = 1.0
+MIN_SUSPENSION_S = 1.0
 
 _read_running = time.monotonic
 
 
-class _SteadyClock:
+class _MonotonicClock:
     def __init__(self) -> None:
         self._seen = _read_running()
         self._slept = float()
@@ -21,14 +21,14 @@
     def read(self) -> float:
         now = _read_running()
         gap = now - self._seen
-        if gap > SHORTEST:
+        if gap > MIN_SUSPENSION_S:
             self._slept += gap
         self._seen = now
         return now - self._slept
 
 
 if __name__ == '__main__':
-    time.monotonic = _SteadyClock().read
+    time.monotonic = _MonotonicClock().read
 
     from dykemast._internal.commands.instance import run_instance
 
