--- a/tests/functional/test_single_server_crashes.py
+++ b/tests/functional/test_single_server_crashes.py
@@ -11,10 +11,10 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from tests.functional.test_crashing_requests import (
-    ASK_PAUSE,
+    REQUEST_INTERVAL_S,
     CRASH,
-    FREE_ENDS,
-    LATE_SENDS,
+    MAX_CRASHES,
+    MAX_LATE_SENDS,
     Play,
 )
 
@@ -51,7 +51,7 @@
             pool.submit(ask_all_the_time, play, body, router, ending)
         for router in itertools.cycle(play.deployment.names):
             pool.submit(play.ask, CRASH, router)
-            time.sleep(ASK_PAUSE)
+            time.sleep(REQUEST_INTERVAL_S)
             if time.monotonic() > ends_at:
                 break
         ending.set()
@@ -74,6 +74,6 @@
     late = play.count_late_ends()
     unserved = list_unserved(play)
     play.stop()
-    assert len(play.keeper.ends) >= FREE_ENDS, 'the request ends servers'
-    assert late <= LATE_SENDS, (late, play.keeper.ends)
+    assert len(play.keeper.ends) >= MAX_CRASHES, 'the request ends servers'
+    assert late <= MAX_LATE_SENDS, (late, play.keeper.ends)
     assert not unserved, f'still refused: {unserved}'
