--- a/tests/functional/test_backends.py
+++ b/tests/functional/test_backends.py
@@ -1,4 +1,4 @@
-"""Backend servers that leave, lie, or break off; callers that go away."""
+"""Leaving servers, wrong or truncated responses, callers that disconnect."""
 
 import json
 
--- a/tests/functional/test_bad_input.py
+++ b/tests/functional/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input of every kind is refused as not run, and nothing is spent."""
+"""Invalid input is refused as not run and consumes no tokens."""
 
 import json
 from http import client
@@ -15,7 +15,7 @@
 
 
 class Bad(NamedTuple):
-    """A body and the refusal it gets."""
+    """A body and the expected refusal."""
 
     body: bytes
     status: int = 422
--- a/tests/functional/test_cold_servers.py
+++ b/tests/functional/test_cold_servers.py
@@ -1,7 +1,7 @@
-"""Servers that are slow from their start bear a bounded rate from all routers.
+"""The request rate of all routers at cold servers is bounded.
 
-Each router sees the same empty server at the same moment, and it falls over
-when all of them send there.
+All routers see the same idle server at the same moment and would overload it
+if each sent its requests there.
 """
 
 import time
@@ -12,15 +12,15 @@
 from tests.lib.deployment import Deployment
 from tests.lib.users_caller import Reply, stream
 
-#: Seconds for which servers are cold, and requests a second that one bears.
+#: Seconds for which servers are cold, and the rate that one sustains.
 COLD_S = 3.0
 COLD_REQUESTS_PER_S = 4.0
-#: What all routers together may send to one in any second.
+#: Requests that all routers together may send to a server in any second.
 MAX_REQUESTS = 1.5 * COLD_REQUESTS_PER_S + 5
 SERVICE = MappingProxyType(
     {'coldStartS': COLD_S, 'coldPerS': COLD_REQUESTS_PER_S}
 )
-#: Seconds in which routers hear of a changed entry.
+#: Time until all routers have received a changed entry.
 PROPAGATION_S = 1.0
 
 
@@ -40,7 +40,7 @@
 
 
 def ask_stream(deployment: Deployment, router: str) -> Reply:
-    # Each prompt is new, so that no server keeps a part of it.
+    # Each prompt is new, so that no server has a prefix of it cached.
     part = uuid.uuid4().hex
     return stream(deployment, router=router, prompt=f'{part}:100')
 
--- a/tests/functional/test_command_line.py
+++ b/tests/functional/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, JSON, and what a person reads."""
+"""The command line: exit codes, JSON output and text output."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 
 
 def run(*words: str, admin: int = 0) -> subprocess.CompletedProcess:
-    """Run the program against a router's address for operators."""
+    """Run the program against a router's admin address."""
     environment = {
         **os.environ,
         'DYKEMAST_ADMIN': f'http://{HOST}:{admin}',
--- a/tests/functional/test_control_fields.py
+++ b/tests/functional/test_control_fields.py
@@ -1,4 +1,4 @@
-"""What a caller may say to a backend server, over real processes."""
+"""Header fields that callers may send to backend servers."""
 
 import contextlib
 import itertools
@@ -36,7 +36,7 @@
     ('X-Expect-Version', '7'),
     ('Wait-Ms', '1000'),
 )
-#: Fields like these, which a later protocol may have.
+#: Fields of the same families that a later protocol may define.
 FUTURE_CONTROL = (
     ('Kv-Evict', 'all'),
     ('X-Kv-Fetch', '127.0.0.1:9'),
@@ -45,13 +45,13 @@
     ('X-Expect-Adapter', 'a-1'),
     ('X-Request-Priority-Class', 'first'),
 )
-#: What routers say themselves.
+#: Fields that routers set themselves.
 FORGED = (
     ('X-Tenant', 'somebody'),
     ('X-Expect-Instance', 'i-forged'),
     ('X-Request-Priority', '0'),
 )
-#: Fields that mean nothing to an engine.
+#: Fields without a meaning to engines.
 ORDINARY = (
     ('Accept', 'text/event-stream'),
     ('User-Agent', 'peer_news/1.0 (x; y)'),
@@ -61,15 +61,15 @@
     ('Priority', 'u=0'),
     ('Cookie', 'a=1; b=2'),
     ('my_app_field', '1'),
-    # As the bytes of UTF-8 are read one by one, here and by the server.
+    # UTF-8 bytes decoded as Latin-1, here and by the server.
     ('X-Clinic', 'Klinik Jati \xc3\xa9'),
 )
-#: Fields of one connection; the first two by what it lists.
+#: Hop-by-hop fields; the first two are listed in ``Connection``.
 HOP = (('X-First', '1'), ('X-Second', '2'), ('Keep-Alive', 'timeout=9'))
 
 
 def ask(*fields: Field, path: str = '/stream/a') -> dict[str, str]:
-    """Ask for a stream; return the fields that the server got."""
+    """Request a stream; return the fields that the server received."""
     request_id = uuid.uuid4().hex
     declared = (('X-Attempt-Id', request_id), *DECLARED)
     assert send(path, *declared, *fields) == 200
@@ -77,7 +77,7 @@
 
 
 def send(path: str, *fields: Field) -> int:
-    """Send fields as they are, also one twice; return the status."""
+    """Send fields unchanged, including duplicates; return the status."""
     deployment = start_shared()
     connection = http_client.HTTPConnection(
         deployment.find_host('node-0'),
@@ -113,7 +113,7 @@
 
 
 def find_arrived(fields: Fields) -> list[str]:
-    """Send fields one at a time; return the names of those that arrive."""
+    """Send the fields one by one; return the names of those that arrive."""
     arrived = []
     for name, text in fields:
         got = ask((name, text))
@@ -138,7 +138,7 @@
 
 
 def choose_same(got: dict[str, str], sent: Fields) -> Fields:
-    """Choose the fields that arrived as they were sent."""
+    """Return the fields that arrived unchanged."""
 
     def is_same(field: Field) -> bool:
         name, text = field
@@ -194,8 +194,8 @@
 
 
 def test_a_stream_that_may_not_be_resumed_begins_at_its_beginning() -> None:
-    # A caller could have an engine run a part of a stream whose route does not
-    # allow it: the field went on whatever the route says.
+    # Fails if the field is forwarded although the route's streams may not be
+    # resumed: a caller could have an engine run part of such a stream.
     got = ask(('Last-Event-Id', '12'), path='/stream/once/a')
     assert 'last-event-id' not in got
 
--- a/tests/functional/test_control_paths.py
+++ b/tests/functional/test_control_paths.py
@@ -1,4 +1,4 @@
-"""Paths by which a caller could reach an engine's own calls."""
+"""Paths by which a caller could reach the control calls of an engine."""
 
 import uuid
 from http import client as http_client
@@ -13,7 +13,7 @@
 )
 from tools.polling import HANG_GUARD
 
-#: Paths that some servers read as one outside of the route.
+#: Paths that some servers resolve to a path outside the route.
 TRAVERSALS = (
     '/stream/../kv-list',
     '/stream/%2e%2e/hold-take',
@@ -21,12 +21,12 @@
     '/stream/./a',
 )
 ALLOWED = '/stream/a..b/report'
-#: Calls of engines that are a router's to make.
+#: Engine calls that only routers may make.
 CALLS = ('/hold-take', '/kv-pin/aa', '/report', '/%6bv-list')
 
 
 def ask(deployment: Deployment, path: str) -> int:
-    """Ask for a stream by a path as it is; return the status."""
+    """Request a stream by an unnormalized path; return the status."""
     connection = http_client.HTTPConnection(
         deployment.find_host('node-0'),
         deployment.ports['caller'],
@@ -53,8 +53,8 @@
 
 
 def test_no_path_of_a_caller_reaches_an_engines_own_calls() -> None:
-    # Dots in a path went on as they came, and a route of all paths took an
-    # engine's own calls: a caller could have it list, keep or move memory.
+    # Fails if dot segments are forwarded unchanged or if a route of all paths
+    # matches control calls: a caller could list, pin or move cached memory.
     deployment = Deployment(routers=1)
     everything = make_configuration(routes=(make_stream_route('/'),))
     deployment.start_servers(everything)
--- a/tests/functional/test_crashes.py
+++ b/tests/functional/test_crashes.py
@@ -32,7 +32,7 @@
     response.read(60)
     fleet.running['router-0'].kill()
     assert b'[DONE]' not in read_rest(response)
-    # The retry runs it again and is whole; the bill stands once.
+    # The retry runs the request again, completes, and is billed once.
     answer = ask_chat(fleet, 1, 'hi stop=3', key='cut', stream=True)
     assert answer.text.endswith('data: [DONE]\n\n')
     assert count_bills(fleet, ['cut']) == {1}
@@ -42,8 +42,8 @@
     fleet = make_fleet()
     ask_chat(fleet, 0, 'hi stop=3')
     fleet.running['router-0'].kill()
-    # The same instance again, with nothing kept: the new incarnation shows
-    # that the old one is dead, and its lease comes back.
+    # The instance restarts without state: its new incarnation confirms that
+    # the old one is dead, and the lease is reclaimed.
     before = count_leases(fleet, 'router-0')
     fleet.start_router(fleet.layout.routers[0])
     assert before
@@ -61,7 +61,7 @@
         first = ask_service(fleet, 1, 'orders/a', key=f'f{number}')
         assert first.status == 200, first.text
     frozen.send_signal(signal.SIGCONT)
-    # What it thought to keep went on without it; it must not run it again.
+    # Other routers took over its keys; it must not run the requests again.
     retries = [
         ask_service(fleet, 0, 'orders/a', key=f'f{again}')
         for again in range(12)
@@ -89,7 +89,7 @@
 
 
 def start_streams_until_gone(fleet: Fleet) -> list[bytes]:
-    """Stop a router; begin a stream of 1.5 s every 0.2 s until it has ended."""
+    """Stop a router; open a stream of 1.5 s every 0.2 s until it exits."""
     stopping = fleet.running['router-0']
     stopping.send_signal(signal.SIGTERM)
     with ThreadPoolExecutor(64) as callers:
@@ -109,8 +109,8 @@
 
 
 def test_a_stopping_router_refuses_what_it_would_cut_off() -> None:
-    # Callers that keep an entry answer go on asking a router that has SIGTERM.
-    # It took their streams until its own time was over, and ended with them.
+    # Callers with a cached entry response send to a router after its SIGTERM.
+    # Fails if it admits streams that its drain timeout then truncates.
     fleet = make_fleet(routers=2, drain_timeout=4)
     texts = start_streams_until_gone(fleet)
     began = [text for text in texts if b'data:' in text]
--- a/tests/functional/test_crashing_requests.py
+++ b/tests/functional/test_crashing_requests.py
@@ -1,10 +1,9 @@
-"""A request that ends the servers that run it, over real processes.
+"""A request that crashes the servers that run it is quarantined.
 
-Users saw one request end a dozen model engines within 14 s. Its caller asked
-again, at another router each time; each send ended one more engine, and with
-it the answers of all others there. In twelve ends of twelve the same request
-had been sent there less than a second before. No router connected a request
-with the end of a server, and none knew it again when it was asked anew.
+Its caller retries at another router each time, and each send crashes one more
+server, with all other requests there: 12 engines within 14 s, each less than
+one second after the send. Fails if routers do not relate a request to the
+crash of its server, or do not recognise its retries.
 """
 
 import time
@@ -19,17 +18,17 @@
 from tools.polling import poll_until
 
 CRASH = 'crash the server'
-#: Servers that a request may end before it counts as known, the seconds that
-#: all routers then have to learn it, and the sends that may still slip by.
+#: Crashes that a request may cause before its quarantine, the time until all
+#: routers have received that, and the sends allowed during this time.
 MAX_CRASHES = 3
 PROPAGATION_S = 3.0
 MAX_LATE_SENDS = 3
-#: Seconds between two asks, and those of a play before and after all routers
-#: are lost.
+#: Interval between requests, and the duration of the test before and after
+#: the loss of all routers.
 REQUEST_INTERVAL_S = 0.4
 FIRST_PHASE_S = 11.0
 SECOND_PHASE_S = 6.0
-#: Seconds for which a server is gone.
+#: Seconds for which a crashed server is down.
 DOWN_S = 2.0
 ROUTES = (
     make_route('/ask/', type='safe', service='llm', attempts=2),
@@ -38,14 +37,14 @@
 
 
 class Innocent(NamedTuple):
-    """A request beside those that end servers."""
+    """A request other than the crashing one."""
 
     at: float
     reply: Reply
 
 
 class Play:
-    """Callers of one deployment; one of them ends servers."""
+    """Callers of one deployment, of which one sends the crashing request."""
 
     def __init__(
         self, path: str, engines: int = 4, down_time: float = DOWN_S
@@ -99,7 +98,7 @@
 
 
 def list_failed(play: Play) -> list[int]:
-    """List what innocent requests got after all could know."""
+    """List failures of innocent requests after the propagation time."""
     known_at = play.keeper.ends[MAX_CRASHES - 1] + PROPAGATION_S + DOWN_S
     return [
         one.reply.status
@@ -150,7 +149,7 @@
 
 
 def wait_all_there(play: Play) -> None:
-    """Wait until all servers listen; they are listed before."""
+    """Wait until all servers listen; the store lists them earlier."""
     play.keeper.wait_all_up()
     names = tuple(play.deployment.backend_ports)
     assert poll_until(
@@ -167,7 +166,7 @@
 
 
 def check_losses(ask: Callable[[Play, ThreadPoolExecutor], None]) -> None:
-    """Lose all servers time and again, each time with a question there."""
+    """Crash all servers repeatedly, each time while requests run there."""
     play = Play('/ask/hot/slow')
     for _ in range(4):
         with ThreadPoolExecutor() as pool:
@@ -182,10 +181,11 @@
 
 
 def test_a_hot_question_is_never_blamed_for_a_loss_of_all_servers() -> None:
-    # Everybody asks the same, so that each server that ends runs it.
+    # All callers send the same request, so that each crashed server runs it.
     check_losses(ask_everywhere)
 
 
 def test_the_only_request_is_never_blamed_for_a_loss_of_all_servers() -> None:
-    # Nothing is sent to the others, so that no send tells of their ends.
+    # The other servers get no requests, so that no failed send shows their
+    # crash.
     check_losses(ask_once)
--- a/tests/functional/test_deployment.py
+++ b/tests/functional/test_deployment.py
@@ -1,4 +1,4 @@
-"""The program on the users' platform, over real processes."""
+"""Router processes on the users' platform."""
 
 import json
 
@@ -77,7 +77,7 @@
         hosts = {text.partition(':')[0] for text in answer['addresses']}
         return hosts == expected
 
-    # Routers that have just started meet by their next news.
+    # Routers that have just started find each other by the next gossip round.
     assert wait_until(names_all)
 
 
--- a/tests/functional/test_deployment_faults.py
+++ b/tests/functional/test_deployment_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the store and of routers, over real processes."""
+"""Faults of the store and of routers."""
 
 import signal
 import time
@@ -11,7 +11,7 @@
 
 
 def count_streamed(deployment: Deployment) -> int:
-    """Tokens that engines handed out or read, as the users count them."""
+    """Count the prompt and output tokens of engines, as the users do."""
     total = 0
     for name in ('engine-0', 'engine-1'):
         for run in deployment.control(name)['runs']:
@@ -21,7 +21,7 @@
 
 
 def stream_until_refused(deployment: Deployment, router: str) -> int:
-    """Ask for streams of 1,100 tokens each; return how many were served."""
+    """Request streams of 1,100 tokens each; return the number served."""
     served = 0
     for _ in range(40):
         reply = stream(deployment, tokens='1000,20', router=router)
@@ -63,7 +63,7 @@
 
 
 def measure_spare(deployment: Deployment, router: str) -> int:
-    """Tokens charged to a router beyond those that it consumed."""
+    """Return the tokens charged to a router beyond its consumption."""
     return sum(
         row.limit - row.spent
         for row in deployment.list_rows('joinville')
@@ -83,7 +83,7 @@
     reply = sent.result()
     assert reply.whole
     assert reply.body.count(b'data:') == 40
-    # Callers use kept addresses for a while.
+    # Callers use cached addresses for a while.
     assert send(deployment, '/order/1').status == 200
     assert stopped.wait(8) == 0
     assert measure_spare(deployment, 'node-0') == 0
@@ -142,10 +142,10 @@
         statuses.append(stream(deployment, tokens='1000,20').status)
         return statuses[-1] == 402
 
-    # While the row is being written it is refused for now, on a machine that is
-    # busy or beside a slow store; that it is too little is told once it is.
+    # While the row is being written, as on a busy machine or with a slow
+    # store, the refusal is temporary; it is final once the row is written.
     assert wait_until(is_told_for_good)
-    # What was kept spare before may not be spent any more.
+    # Spare tokens of the earlier budget may not be spent any more.
     assert 200 not in statuses
     deployment.stop()
 
--- a/tests/functional/test_deployment_servers.py
+++ b/tests/functional/test_deployment_servers.py
@@ -1,4 +1,4 @@
-"""What backend servers may do wrong, over real processes."""
+"""Faults of backend servers."""
 
 import functools
 
@@ -12,7 +12,7 @@
 
 @functools.cache
 def start_one_engine() -> Deployment:
-    """One router, two engines and one plain server, to be broken in turn."""
+    """Start one router, two engines and one plain server for fault tests."""
     return Deployment(routers=1).start()
 
 
@@ -59,8 +59,8 @@
 
 
 def test_what_ran_is_never_called_not_run_when_no_server_is_left() -> None:
-    # It may be repeated, and nobody is there who could: the search for another
-    # server refuses as not run, which is not true of this request.
+    # The request may be repeated, but there is no other server. Fails if the
+    # failed search for one reports as not run a request that ran.
     deployment = start_one_engine()
     reply = send_with_fault('unsigned', '/price/1')
     assert reply.status == 502
@@ -75,7 +75,7 @@
 
 def test_a_stream_that_breaks_goes_on_at_another_engine() -> None:
     deployment = start_one_engine()
-    # The engine that has read the prompt gets it again.
+    # The engine that has the prompt cached gets it again.
     first = find_engine(stream(deployment).body)
     deployment.control(first, fault='cut')
     reply = stream(deployment)
@@ -89,7 +89,7 @@
 
 
 def check_cut_after_two_events(fault: str) -> None:
-    """Check what a caller gets of a stream that may not be resumed."""
+    """Check that a stream that may not be resumed is truncated."""
     deployment = start_one_engine()
     set_engines(deployment, fault=fault)
     reply = stream(deployment, '/stream/once/a')
@@ -120,11 +120,11 @@
 
 
 def test_a_server_that_is_not_there_costs_no_send() -> None:
-    # A route of one send, whose server answers for an address that another
-    # one has by now: it did not get the request, so the next one may.
+    # The route allows one send. The address now belongs to another server, so
+    # the intended one did not receive the request, and the next one may.
     route = make_stream_route('/stream/one/', attempts=1, resumable=False)
     deployment = Deployment(routers=1).start(routes=(route,))
-    # The engine that has read the prompt gets it again.
+    # The engine that has the prompt cached gets it again.
     first = find_engine(stream(deployment, '/stream/one/a').body)
     deployment.control(first, fault='misdirected')
     replies = [stream(deployment, '/stream/one/a') for _ in range(4)]
@@ -171,7 +171,7 @@
 
 
 def test_a_request_that_waits_ends_when_its_caller_leaves() -> None:
-    # Longer than anyone waits here, so that only the caller ends it.
+    # Longer than the test waits, so that only the caller ends the request.
     route = make_stream_route('/stream/long/', timeoutMs=300_000)
     deployment = Deployment(routers=1, engines=1).start(routes=(route,))
     deployment.control('engine-0', pause=300)
--- a/tests/functional/test_entry_answers.py
+++ b/tests/functional/test_entry_answers.py
@@ -1,4 +1,4 @@
-"""Entry answers name no router for longer than users allow."""
+"""Entry responses stop naming a router that is gone within the users' bound."""
 
 import functools
 import time
@@ -8,8 +8,8 @@
 from tests.lib.users_objects import HOST
 from tools.calls import call
 
-#: Seconds after which a router that is gone may not be named any more: until
-#: the others count as in touch, and 3 s.
+#: Time until a router that is gone is not named any more: the time until the
+#: others count as in contact, and 3 s.
 GONE_WITHIN_S = 4.0 + 3.0
 ASKS = 10
 
@@ -20,7 +20,7 @@
 
 
 def list_named(deployment: Deployment, router: str) -> set[str]:
-    """List all that some answers of one router name."""
+    """List the routers that several responses of one router name."""
     url = deployment.find_url(router, 'entry')
     answers = [call(f'{url}/resolve?name={HOST}') for _ in range(ASKS)]
     return {one for answer in answers for one in answer['addresses']}
@@ -51,7 +51,7 @@
     process.kill()
     process.wait()
     check_not_named(deployment, time.monotonic())
-    # Once it has started again it is named, though its old entry was known.
+    # A restarted router is named although its old entry is still cached.
     deployment.start_router('node-2')
     assert wait_until(lambda: is_named_by_others(deployment, 'node-2'))
 
--- a/tests/functional/test_evacuations.py
+++ b/tests/functional/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Halls that are emptied: nothing new reaches their backend servers."""
+"""Evacuated halls: no new request reaches their backend servers."""
 
 import functools
 import time
@@ -10,9 +10,9 @@
 from tests.lib.users_settings import EVACUATE_MS
 
 OTHER_HALL = 'curitiba'
-#: Seconds after which an evacuation is in force, with some for the machine.
+#: Time until an evacuation is in force.
 EVACUATION_S = EVACUATE_MS / 1000
-#: Seconds within which a refusal that waits for nothing is there.
+#: Longest duration of an immediate refusal.
 IMMEDIATE_REFUSAL_S = 0.5
 
 
@@ -38,7 +38,7 @@
 
 
 def ask_all(deployment: Deployment, count: int) -> list[Reply]:
-    # A prompt of its own each time: no engine is preferred for what it keeps.
+    # Each prompt is new, so that no engine is preferred for its cache.
     return [
         stream(deployment, prompt=f'a{number}:100', router=router)
         for number in range(count)
@@ -55,7 +55,7 @@
     replies = ask_all(deployment, 10)
     assert {reply.status for reply in replies} == {200}
     assert count_arrivals(deployment, 'engine-1') == before
-    # What breaks off goes on in no hall that is emptied.
+    # A truncated stream is not resumed in an evacuated hall.
     deployment.control('engine-0', fault='cut')
     assert not stream(deployment).whole
     deployment.control('engine-0', fault='')
@@ -67,7 +67,7 @@
         return count_arrivals(deployment, 'engine-1') > before
 
     assert wait_until(is_used_again)
-    # What ran there goes on to its end.
+    # Requests that already run there complete.
     assert connection.getresponse().read().count(b'data:') == 20
 
 
@@ -116,7 +116,7 @@
     deployment = start_two_halls()
     deployment.control('store', away=True)
     time.sleep(1)
-    # The operator's write is done; it is confirmed with the store's return.
+    # The write is applied, and confirmed when the store is available again.
     evacuate(deployment, OTHER_HALL)
     deployment.control('store', away=False)
     time.sleep(EVACUATION_S)
