--- a/tests/functional/test_foreign_entries.py
+++ b/tests/functional/test_foreign_entries.py
@@ -1,11 +1,10 @@
-"""Entries from other writers, and servers that start again, over processes.
-
-One object of kind ``servers`` whose address was a number ended the tasks that
-read the list: the router stayed ready, answered 503 to every request from
-about two seconds later, and took no change of servers any more (six of six
-requests, where all were served before). A server whose entry said
-``draining`` and then ``ready`` with a later ``born`` never got a request
-again: all were answered 503 for as long as it was watched.
+"""Invalid server entries, and servers that restart under their id.
+
+Fails if an invalid entry, such as an address that is a number, ends the tasks
+that read the list: the router stays ready, but about two seconds later it
+responds with 503 to every request and applies no change of servers. Also fails
+if a server whose entry changes from ``draining`` to ``ready`` with a later
+``born`` gets no requests.
 """
 
 import time
@@ -16,13 +15,13 @@
 from tests.lib.users_caller import send
 from tests.lib.users_objects import make_server
 
-#: Seconds in which every way to learn of an entry is used: a watch, and a
-#: read of the whole list 1.4 s after the one before.
+#: Time in which an entry arrives by watch and by listing; listings are 1.4 s
+#: apart.
 PROPAGATION_S = 3.0
 
 
 def put_entry(deployment: Deployment, name: str, **fields: Any) -> None:
-    """Write the entry of the plain server, with some fields changed."""
+    """Write the entry of the plain server with changed fields."""
     kind, _, spec = make_server(name, deployment.backend_ports['plain-0'])
     spec.update(fields)
     deployment.control('store', put=[[kind, name, spec]])
@@ -34,13 +33,13 @@
 
 
 def wait_served(deployment: Deployment, *, served: bool) -> bool:
-    """Wait until requests are served, or until none is any more."""
+    """Wait until requests are served, or until none is served."""
     wanted = 200 if served else 503
     return wait_until(lambda: send(deployment, '/order/1').status == wanted)
 
 
 def check_learning(deployment: Deployment) -> None:
-    """Check that servers are used, and that what changes is still learned."""
+    """Check that servers are used and that changes are still applied."""
     time.sleep(PROPAGATION_S)
     assert count_served(deployment) == 6
     put_entry(deployment, 'plain-0', state='draining')
@@ -88,7 +87,7 @@
     assert wait_served(deployment, served=False)
     put_entry(deployment, 'plain-0', born=2_000, sequence=1)
     assert wait_served(deployment, served=True)
-    # Word of the earlier start still goes round among routers.
+    # Gossip messages about the earlier incarnation still circulate.
     time.sleep(PROPAGATION_S)
     assert count_served(deployment) == 6
     assert count_events(deployment, 'server_started_again') >= 1
--- a/tests/functional/test_homes.py
+++ b/tests/functional/test_homes.py
@@ -1,4 +1,4 @@
-"""Routes and workspaces whose requests stay in their regions."""
+"""Routes and workspaces with allowed regions."""
 
 from tests.lib.deployment import Deployment
 from tests.lib.fixtures import wait_until
@@ -78,10 +78,10 @@
         for name in deployment.names
     )
     sul = 'region=sul&zone=joinville'
-    # Once the router abroad is known, its address may stand there.
+    # Once the router in the other region is known, its address may be listed.
     assert wait_until(lambda: len(list_near(deployment)) == 2)
     assert list_entries(deployment, 'node-0', sul) == [own]
     assert list_entries(deployment, 'node-1', sul) == [own]
-    # A caller's own region is no other one.
+    # The caller's own region does not count as another one.
     assert set(list_near(deployment)) == {own, abroad}
     deployment.stop()
--- a/tests/functional/test_last_tokens.py
+++ b/tests/functional/test_last_tokens.py
@@ -1,4 +1,4 @@
-"""The last tokens of a budget are usable, and not one more."""
+"""The last tokens of a budget are usable at all routers, and no more."""
 
 import functools
 import json
--- a/tests/functional/test_late_configuration.py
+++ b/tests/functional/test_late_configuration.py
@@ -1,18 +1,18 @@
-"""Refused for good, by a configuration that was no longer in force.
+"""Final refusals must not come from an outdated configuration.
 
-A caller asked a route that operators had added and got 404, 4.2 s after the
-store had confirmed the change; 3 s are promised there. The router used all of
-its processor for 9 s (48 to 51 % of a core where 0.516 are given) and read
-nothing from the store for 4 s, while 334 callers left it unserved: reads and
-news waited behind requests, and nothing asked how old the configuration was.
+A caller of an added route must not get 404 later than 3 s after the store
+confirms the change. A router that uses all of its CPU share (0.516 of a core)
+for 9 s may read nothing from the store for 4 s, since reads and gossip messages
+wait behind requests, of which 334 end without a response. Fails if the age of
+the configuration is not checked: 404 after 4.2 s.
 
-By hand, a router that runs for 6 to 10 % of the time had the change 1.3, 2.1
-and 3.7 s after it was confirmed, and took its knowledge for 0.1, 0.9 and 1.2 s
-old just then: news that had waited in its buffers counted as new.
+A router that runs for 6 to 10 % of the time applies a change up to 3.7 s late.
+Fails if messages that waited in its buffers count as new, so that it takes a
+configuration for 0.1 to 1.2 s old.
 
-Without any load a change came as late when the connections that a router kept
-to the store had gone silent: a read was due after 1.4 s, waited 2 s for an
-answer, then 0.5 s, and the next one could take another silent connection.
+Silent connections to the store delay a change as much without any load: a read
+is due after 1.4 s, times out after 2 s, is retried after 0.5 s, and may get
+another silent connection.
 """
 
 import signal
@@ -27,18 +27,18 @@
 from tests.soak.links import Links
 from tests.soak.proxy import STALE
 
-#: Seconds until a change is in force, as the users' settings say.
+#: Time until a change is in force, by the users' settings.
 PROMISED_S = 2.0
-#: Seconds after that for which callers ask.
+#: Time after that for which callers send requests.
 REQUESTS_S = 3.0
-#: Seconds until requests have reached a router that stands still.
+#: Time until requests have reached a router whose process is stopped.
 ARRIVAL_S = 0.5
-#: Seconds that the store takes for an answer, so that no read comes first.
+#: Response time of the store, so that requests are handled before a read.
 LATENCY_S = 0.2
 
 
 def add_route(deployment: Deployment) -> float:
-    """Add a route; return when the store had confirmed it."""
+    """Add a route; return the time of the store's confirmation."""
     routes = (*ROUTES, make_route('/new/'))
     changed = make_configuration(version=7, prepaid=10**8, routes=routes)
     deployment.control('store', put=[['config', 'main', changed]])
@@ -46,12 +46,12 @@
 
 
 def wait_for_promise(since: float) -> None:
-    """Wait until a change has to be in force."""
+    """Wait until a change must be in force."""
     time.sleep(max(0, since + PROMISED_S - time.monotonic()))
 
 
 def ask_new_route(deployment: Deployment, since: float) -> Iterator[int]:
-    """Ask the new route from when it has to be known; tell the answers."""
+    """Call the new route once it must be in force; yield the statuses."""
     wait_for_promise(since)
     while time.monotonic() < since + PROMISED_S + REQUESTS_S:
         yield send(deployment, '/new/1').status
@@ -59,8 +59,8 @@
 
 
 def test_a_router_that_got_to_nothing_refuses_nothing_for_good() -> None:
-    # Its loop stands still from before the change until after the promise,
-    # its watch has heard nothing, and requests wait when it goes on.
+    # The process is stopped from before the change until it must be in force,
+    # its watch has received nothing, and requests wait when it continues.
     deployment = Deployment(routers=1).start()
     deployment.control('store', deaf=True, latency=LATENCY_S)
     process = deployment.processes.running['node-0']
--- a/tests/functional/test_leaving_servers.py
+++ b/tests/functional/test_leaving_servers.py
@@ -1,6 +1,6 @@
-"""A server that says in its answers that it leaves gets nothing new.
+"""A server that announces in its responses that it leaves gets no new requests.
 
-Its entry may say so much later, as when the store is away.
+Its entry may change much later, as when the store is unavailable.
 """
 
 import time
@@ -16,7 +16,7 @@
 from tests.lib.deployment import Deployment
 from tests.lib.users_objects import make_next_start
 
-#: Seconds after which a server that leaves gets nothing more.
+#: Time after which a leaving server gets no new requests.
 LEAVING_IN_FORCE_S = 2.0
 REQUESTS_S = 2.0
 
--- a/tests/functional/test_limits.py
+++ b/tests/functional/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits in time, and of the platform's calls."""
+"""Deadlines, and the call limit of the platform."""
 
 import json
 import time
--- a/tests/functional/test_operators.py
+++ b/tests/functional/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators who race, and strangers."""
+"""Concurrent submissions of operators, and unauthenticated access."""
 
 import asyncio
 import time
@@ -21,7 +21,7 @@
 
 
 def submit(fleet: Fleet, base: int, name: str, router: int = 0) -> int:
-    """Submit a configuration; the status when it is refused."""
+    """Submit a configuration; return the status if it is refused."""
     fields = {
         'text': yaml.safe_dump(make_configuration()),
         'path': 'configuration.yaml',
@@ -48,7 +48,7 @@
     fleet = make_fleet()
     assert submit(fleet, 1, 'one', router=0) == 2
     assert submit(fleet, 1, 'other', router=1) == 409
-    # The same submission again is the same revision.
+    # A repeated submission returns the same revision.
     assert submit(fleet, 1, 'one', router=2) == 2
 
 
@@ -68,7 +68,7 @@
     except url_error.HTTPError as error:
         assert error.code == 401
     else:
-        raise AssertionError('a stranger read the budgets')
+        raise AssertionError('budgets were shown without the operator key')
 
 
 def test_routers_turn_strangers_away() -> None:
@@ -86,4 +86,4 @@
     except PeerError as error:
         assert 'Refused' in str(error)
     else:
-        raise AssertionError('a stranger was served')
+        raise AssertionError('a peer call with a wrong key was served')
--- a/tests/functional/test_outages.py
+++ b/tests/functional/test_outages.py
@@ -1,4 +1,4 @@
-"""The platform away, slow, or losing answers after it has written."""
+"""The platform unavailable, slow, or without a response to applied writes."""
 
 import json
 
@@ -27,7 +27,7 @@
     control(fleet.layout.platform_port, away=True)
     for key in keys:
         ask_whole(fleet, key)
-    # Bills that only memory holds survive the death of their router.
+    # Bills that only memory holds survive a crash of their router.
     fleet.running['router-0'].kill()
     control(fleet.layout.platform_port, away=False)
     assert wait_until(lambda: count_bills(fleet, keys) == {1})
@@ -35,7 +35,7 @@
 
 def test_an_order_is_refused_at_once_in_an_outage() -> None:
     fleet = make_fleet()
-    # There is room in the lease, so that only the claim is missing.
+    # The lease has available tokens, so that only the claim is missing.
     for number in range(3):
         ask_service(fleet, 0, 'orders/a', key=f'before{number}')
     control(fleet.layout.platform_port, away=True)
@@ -84,7 +84,7 @@
 def test_a_router_started_in_an_outage_learns_from_peers() -> None:
     fleet = make_fleet()
     platform = fleet.layout.platform_port
-    # It reads the list, and then nothing more.
+    # It reads the instance list, and then nothing more.
     fleet.running['router-2'].kill()
     fleet.running['router-2'].wait()
     fleet.start_router(fleet.layout.routers[2])
@@ -96,5 +96,5 @@
         except OSError:
             return False
 
-    # Peers know its address and bring it the news.
+    # Peers know its address and send it gossip messages.
     assert wait_until(knows)
--- a/tests/functional/test_planned_stops.py
+++ b/tests/functional/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""A router that is stopped while callers go on asking it."""
+"""Planned stops of a router while callers continue to send requests."""
 
 import signal
 import threading
@@ -13,22 +13,21 @@
 from tests.lib.users_objects import make_route, make_stream_route
 from tools.polling import HANG_GUARD
 
-#: Seconds from SIGTERM to the kill in the settings of these routers.
+#: Time from SIGTERM to SIGKILL in the settings of these routers.
 GRACE_S = 8
-#: A stream of 1.5 s, whose caller would wait for 12 s.
+#: A stream of 1.5 s with a deadline of 12 s.
 EVENT_INTERVAL_S = 0.05
 TOKENS = '100,30'
 DEADLINE_MS = '12000'
 ENGINES = ('engine-0', 'engine-1')
-#: Streams may take far longer than a stop.
+#: Requests may take far longer than a stop.
 ROUTES = (
     make_route('/order/', timeoutMs=60_000),
     make_stream_route('/stream/', timeoutMs=60_000),
 )
-#: Statuses that a caller may get of a router that is stopping.
+#: Statuses that a stopping router may return.
 ALLOWED_STATUSES = frozenset((200, 503))
-#: Those of a call that ran; the second when its time is over, as on a machine
-#: that is busy.
+#: Statuses of a call that ran; 504 after its deadline, as on a busy machine.
 STATUSES_OF_RUN_CALLS = frozenset((200, 504))
 
 
@@ -41,7 +40,7 @@
 
 
 def order_stop(deployment: Deployment) -> Any:
-    """Send SIGTERM; a router that does not end is killed, but not yet."""
+    """Send SIGTERM; a router that does not exit is killed later."""
     stopped = deployment.processes.running['node-0']
     stopped.send_signal(signal.SIGTERM)
     guard = threading.Timer(3 * GRACE_S, stopped.kill)
@@ -51,7 +50,7 @@
 
 
 def try_stream(deployment: Deployment) -> Reply | None:
-    """Ask for a stream over a new connection; None when there is no answer."""
+    """Request a stream over a new connection; None without a response."""
     try:
         return stream(deployment, tokens=TOKENS, X_Deadline_Ms=DEADLINE_MS)
     except (OSError, http_client.HTTPException):
@@ -59,7 +58,7 @@
 
 
 def ask_until_gone(deployment: Deployment) -> list[Reply | None]:
-    """Stop the router; ask it every 0.1 s until its process has ended."""
+    """Stop the router; request a stream every 0.1 s until it exits."""
     stopped = order_stop(deployment)
     with ThreadPoolExecutor(100) as callers:
         asked = []
@@ -76,11 +75,10 @@
 
 
 def test_a_stopping_router_takes_no_stream_that_it_would_cut_off() -> None:
-    # Callers saw streams break off midway while routers were restarted in
-    # turn: a router that had SIGTERM went on letting in whatever came, and cut
-    # what was in progress when its time was over. The log showed it: of a
-    # stream admitted 3.13 s after `stopping` with 11.99 s of patience nothing
-    # came after `send`, and `stopped` said `inflight` 1.
+    # Fails if a router admits streams after SIGTERM that it cannot complete
+    # within its grace period, and truncates them: a stream admitted 3.13 s
+    # after `stopping` with 11.99 s to its deadline has no event after `send`,
+    # and `stopped` has `inflight` 1.
     deployment = start_slow_engines()
     replies = ask_until_gone(deployment)
     statuses = {reply.status for reply in replies if reply}
@@ -93,10 +91,10 @@
 
 
 class Calls(NamedTuple):
-    """How callers call while a router stops.
+    """Load of callers while a router stops.
 
     :param takes: seconds that a call takes at the server.
-    :param deadline_ms: milliseconds that its caller waits.
+    :param deadline_ms: milliseconds until the deadline of a call.
     :param pause: seconds between two calls.
     """
 
@@ -106,7 +104,7 @@
 
 
 def try_call(deployment: Deployment, deadline_ms: str) -> Reply | None:
-    """Make a call that may run once; None when there is no answer."""
+    """Make a call that may run once; None without a response."""
     try:
         return send(deployment, '/order/1', X_Deadline_Ms=deadline_ms)
     except (OSError, http_client.HTTPException):
@@ -114,7 +112,7 @@
 
 
 def call_until_gone(deployment: Deployment, calls: Calls) -> list[Reply]:
-    """Stop the router; call it again and again until it has ended."""
+    """Stop the router; call it repeatedly until it exits."""
     deployment.control('plain-0', delay=calls.takes)
     stopped = order_stop(deployment)
     asked = []
@@ -143,9 +141,9 @@
 
 
 def test_nothing_is_taken_while_tokens_are_given_back() -> None:
-    # A plain call was taken 3.05 s after SIGTERM and cut 0.17 s later: the
-    # router had seen that nothing was in progress, was giving its tokens back,
-    # and took requests until its process ended.
+    # Fails if a router without requests in progress still admits calls while
+    # it returns unused tokens: one admitted 3.05 s after SIGTERM is cancelled
+    # 0.17 s later, when the process exits.
     deployment = start_slow_engines()
     deployment.control('store', latency=0.7)
     calls = Calls(takes=0.3, deadline_ms='1500', pause=0.4)
@@ -159,8 +157,8 @@
 
 
 def test_a_router_that_is_never_idle_finishes_what_it_took() -> None:
-    # Calls that overlap all the time: the last wait is for those that were let
-    # in just before admission closed.
+    # Calls overlap all the time, so that the router has to wait for those
+    # admitted just before admission closes.
     deployment = start_slow_engines()
     calls = Calls(takes=1.5, deadline_ms='2000', pause=0.1)
     check_all_were_told(deployment, call_until_gone(deployment, calls))
@@ -173,8 +171,8 @@
 
 
 def test_tokens_go_back_though_the_store_is_away_for_a_while() -> None:
-    # One failed write was the only try, with 4.8 s left before the kill: what
-    # the router kept spare was charged in full to the next process.
+    # Fails if a failed write is not retried, with 4.8 s left before SIGKILL:
+    # the router's spare tokens are then charged in full to the next process.
     deployment = start_slow_engines()
     assert sum(list_spare(deployment)) > 0
     deployment.control('store', away=True)
@@ -187,7 +185,7 @@
 
 
 def ask_long_stream(deployment: Deployment) -> Reply:
-    """Ask for a stream of 25 s; a stop takes 8 s at most."""
+    """Request a stream of 25 s; a stop takes 8 s at most."""
     return stream(deployment, tokens='100,500', X_Deadline_Ms='30000')
 
 
@@ -197,15 +195,16 @@
 
 
 def test_a_stream_that_outlasts_the_stop_is_cut_and_accounted_for() -> None:
-    # What was cut got the listener's own 500, after the tokens had gone back:
-    # what it had not used was charged to the next process. Another that came
-    # after SIGTERM was let in and cut as well, since only those that had ended
-    # told how long they take.
+    # Fails if a cancelled stream gets the listener's own 500 after tokens are
+    # returned: its unused tokens are then charged to the next process. Also
+    # fails if the typical duration counts completed streams only, so that
+    # another long one is admitted after SIGTERM and cancelled.
     deployment = start_slow_engines()
     with ThreadPoolExecutor(1) as callers:
         asked = callers.submit(ask_long_stream, deployment)
         assert wait_until(lambda: len(list_cut_runs(deployment)) == 1)
-        # Longer than a stop, so that no other may be let in for it.
+        # The stream already runs longer than a stop, so that no other may be
+        # admitted.
         time.sleep(8)
         stopped = order_stop(deployment)
         assert wait_until(lambda: is_stopping(deployment))
@@ -219,7 +218,7 @@
 
 
 def test_a_call_that_outlasts_the_stop_is_told_that_it_may_have_run() -> None:
-    # The listener answered with a 500 of its own, and nothing was logged.
+    # Fails if the listener responds with its own 500 and nothing is logged.
     deployment = start_slow_engines()
     deployment.control('plain-0', delay=30)
     with ThreadPoolExecutor(1) as callers:
@@ -235,8 +234,8 @@
 
 
 def test_a_silent_store_does_not_hold_up_a_stop() -> None:
-    # The removal of the router's entry was waited for before anything else: a
-    # stop with a silent store ended 0.29 s before the kill.
+    # Fails if the stop first waits for the removal of the router's entry: with
+    # a silent store it then ends only 0.29 s before SIGKILL.
     deployment = start_slow_engines()
     deployment.control('store', silent=True)
     calls = Calls(takes=0.3, deadline_ms='1500', pause=0.4)
--- a/tests/functional/test_resting_servers.py
+++ b/tests/functional/test_resting_servers.py
@@ -1,6 +1,6 @@
-"""A server that turns a request away and asks for rest gets it.
+"""Servers that refuse a request with a backoff get no requests during it.
 
-Rest is asked of one router, so there is one.
+A backoff applies to the router that receives it, so there is only one.
 """
 
 import time
@@ -16,8 +16,8 @@
 )
 from tests.lib.deployment import Deployment
 
-#: Seconds of rest that servers ask for, those after which a router keeps to
-#: it, and requests that it may send nevertheless.
+#: Backoff that servers ask for, time until the router observes it, and
+#: requests that it may send nevertheless.
 BACKOFF_S = 2.5
 BACKOFF_IN_FORCE_S = 0.5
 MAX_REQUESTS = 2
@@ -35,7 +35,7 @@
 
 
 def count_early(deployment: Deployment, server: str, since: float) -> int:
-    """Count the arrivals in the rest that the first arrival led to."""
+    """Count the arrivals within the backoff caused by the first arrival."""
     arrivals = deployment.control(server)['arrivals']
     times = sorted(at for _, at in arrivals if at > since)
     first = times[0]
@@ -47,7 +47,7 @@
 def ask_while_resting(
     deployment: Deployment, ask: Ask, *servers: str
 ) -> list[Asked]:
-    """Ask while servers rest; check that each is left alone."""
+    """Send requests during backoffs; check that servers get none."""
     ask_for_rest(deployment, *servers)
     since = time.monotonic()
     asked = ask_all(deployment, ask, BACKOFF_S)
@@ -80,7 +80,7 @@
     asked = ask_while_resting(deployment, ask_price, 'plain-0')
     check_refusals(asked)
     end_rest(deployment, 'plain-0')
-    # Who comes back when it was told to is served.
+    # A caller that retries after Retry-After is served.
     last = max(asked, key=lambda one: one.at)
     time.sleep(float(last.reply.headers['retry-after']))
     assert ask_price(deployment, 'node-0').status == 200
--- a/tests/functional/test_server_limits.py
+++ b/tests/functional/test_server_limits.py
@@ -1,4 +1,4 @@
-"""What a server says that it takes holds over all routers, on every way."""
+"""The rate limit of a server holds over all routers, for sends and resumes."""
 
 import time
 from types import MappingProxyType
@@ -14,20 +14,20 @@
 )
 from tests.lib.deployment import Deployment
 
-#: Requests a second that a server takes, seconds from its first word on after
-#: which that holds, and seconds in which arrivals are counted.
+#: Requests per second that a server allows, time from its first response until
+#: the limit is in force, and the window in which arrivals are counted.
 LIMIT_PER_S = 1.8
 LIMIT_IN_FORCE_S = 3.0
 WINDOW_S = 4.0
-#: What users allow in such a window.
+#: Requests that users allow in such a window.
 MAX_REQUESTS = 1.5 * LIMIT_PER_S * WINDOW_S + 5
 FIELDS = MappingProxyType({'server-limit': str(LIMIT_PER_S)})
-#: Seconds for which all ask.
+#: Time for which callers send requests.
 REQUESTS_S = LIMIT_IN_FORCE_S + WINDOW_S + 0.5
 
 
 def find_most_by_limit(deployment: Deployment, server: str, ask: Ask) -> int:
-    """Count what a server gets in a window once it has named a limit."""
+    """Count a server's arrivals in the busiest window under its limit."""
     deployment.control(server, fields=dict(FIELDS))
     since = time.monotonic() + LIMIT_IN_FORCE_S
     ask_all(deployment, ask, REQUESTS_S)
@@ -38,7 +38,7 @@
     deployment = start_plenty(3, 3)
     most = find_most_by_limit(deployment, 'engine-2', ask_stream)
     assert 0 < most <= MAX_REQUESTS
-    # The others serve what it does not take.
+    # The other servers get the requests beyond its limit.
     assert find_busiest(deployment, 'engine-0', 0, WINDOW_S) > MAX_REQUESTS
     deployment.stop()
 
@@ -70,7 +70,8 @@
     deployment.control('engine-2', fields=dict(FIELDS))
     ask_all(deployment, ask_stream, 2)
     deployment.control('engine-2', fields={})
-    # It takes a turn of who may ask, and a round of news, until all know.
+    # All routers know that the limit is gone after one share period and one
+    # gossip round.
     ask_all(deployment, ask_stream, 2)
     since = time.monotonic()
     ask_all(deployment, ask_stream, WINDOW_S)
--- a/tests/functional/test_single_server_crashes.py
+++ b/tests/functional/test_single_server_crashes.py
@@ -1,8 +1,8 @@
-"""A request that ends the one server of its service, beside slow ones.
+"""A request that crashes the only server of its service, beside slow requests.
 
-A slow request that is always under way there breaks off at each end too, and
-as the server lives for less time than the slow one takes, it never runs to its
-end: it has to be told from the guilty one all the same.
+A slow request is in progress at each crash too, and never completes since the
+server runs for less time than it needs. Fails if it is quarantined like the
+crashing request.
 """
 
 import itertools
@@ -20,12 +20,12 @@
 
 PATH = '/ask/hot/slow'
 SLOW = ('slow a', 'slow b')
-#: Seconds of a play, and those in which it has to be over for slow requests.
+#: Duration of the test phase, and time until slow requests must be served.
 PHASE_S = 20.0
 SERVED_WITHIN_S = 5.0
-#: Seconds until the server is back.
+#: Time until the server restarts.
 DOWN_S = 1.0
-#: Seconds from an answer until its caller asks anew.
+#: Time from a response to the next request of its caller.
 RETRY_DELAY_S = 0.02
 OK = 200
 
@@ -36,14 +36,14 @@
     router: str,
     ending: threading.Event,
 ) -> None:
-    """Ask anew as soon as there is an answer."""
+    """Send a new request after each response."""
     while not ending.is_set():
         play.ask(body, router)
         time.sleep(RETRY_DELAY_S)
 
 
 def run_play(play: Play) -> None:
-    """Ask for what ends the server at each router in turn, beside slow ones."""
+    """Send the crashing request to each router in turn, beside slow ones."""
     ending = threading.Event()
     ends_at = time.monotonic() + PHASE_S
     with ThreadPoolExecutor() as pool:
@@ -58,7 +58,7 @@
 
 
 def list_unserved(play: Play) -> set[str]:
-    """List the slow requests that are still refused after a while."""
+    """List the slow requests that are refused after they must be served."""
     until = time.monotonic() + SERVED_WITHIN_S
     unserved = set(SLOW)
     while unserved and time.monotonic() < until:
--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak: the seeds that failed once, and a fixed one."""
+"""Short soak runs with seeds that failed before and with fixed seeds."""
 
 from pathlib import Path
 
@@ -8,14 +8,14 @@
 FIXED_SEED = 8
 FOREIGN_SEED = 1_000_003
 OVERSPENT_SEED = 611136
-#: The same, at a service with one server that a slow question is always at.
+#: Crashing requests at a service with one server and slow requests.
 ONE_SERVER_SEED = 2_000_010
-#: A request that ends servers, routers that sleep and a loss of all of them.
+#: A crashing request, suspended routers and a loss of all routers.
 CRASH_SEED = 2_000_001
-#: Halls that are emptied and taken back, and servers that turn cold.
+#: Halls that are evacuated and used again, and servers that become cold.
 HALL_SEED = 3_000_001
 
-#: All servers name a limit, and routers are killed and stopped beside it.
+#: All servers send a limit while routers are killed and stopped.
 ASK_SEED = 4_000_005
 
 
@@ -43,10 +43,10 @@
 
 
 def test_a_seed_with_a_slow_link_does_not_overspend() -> None:
-    # With one silent link and three planned stops 60,111 of 60,000 tokens were
-    # consumed, and 60,114 in a replay (three of seven plays): callers left in
-    # the silence, and what the engine made then was not charged; see
-    # test_unread_events, which shows it each time.
+    # Fails if tokens that an engine makes while its link is silent and the
+    # caller disconnects are not charged: with one silent link and three planned
+    # stops 60,111 or 60,114 of 60,000 tokens are consumed, though not in each
+    # run (three of seven). test_unread_events shows it each time.
     check_seed(OVERSPENT_SEED)
 
 
@@ -63,7 +63,7 @@
 
 
 def test_a_seed_with_one_server_quarantines_no_other_request() -> None:
-    # Service was not back: 119 of 496 served, as two slow questions that are
-    # always under way beside the request that ends the server were quarantined
-    # by what the store keeps; see test_crash_news.
+    # Fails if stored crash records quarantine the two slow requests that are
+    # always in progress beside the crashing one: service does not recover, and
+    # 119 of 496 requests are served. See test_crash_news.
     check_seed(ONE_SERVER_SEED)
--- a/tests/functional/test_suspended_routers.py
+++ b/tests/functional/test_suspended_routers.py
@@ -1,11 +1,11 @@
-"""A machine that is suspended for seconds, while the world goes on.
-
-The steady clock of such a machine does not count the time asleep. A router
-that reckons by it takes its configuration, its list of servers, its peers and
-the time left to requests for younger than they are: awake again, it refused a
-route with 404 that had been added while it slept, and kept a caller waiting
-whose time had been over before. A process that is only stopped does not show
-this, as the steady clock of its machine runs on.
+"""Routers on a machine that is suspended for seconds.
+
+The monotonic clock does not count the suspension. A router that uses it takes
+its configuration, its list of servers, its peers and the deadlines of requests
+for younger than they are: after the resume it refuses with 404 a route that was
+added meanwhile, and lets a caller wait whose deadline has passed. A process
+that is only stopped does not show this, since the monotonic clock of its
+machine continues.
 """
 
 import signal
@@ -19,14 +19,13 @@
 from tests.lib.users_caller import send
 from tests.lib.users_objects import ROUTES, make_configuration, make_route
 
-#: Seconds for which the machine is suspended; a change has to be in force
-#: after 2 s.
+#: Duration of the suspension; a change must be in force after 2 s.
 SUSPENSION_S = 3.0
-#: Seconds until requests have reached a router that stands still.
+#: Time until requests have reached a router whose process is stopped.
 ARRIVAL_S = 0.5
-#: Seconds that the store takes for an answer, so that no read comes first.
+#: Response time of the store, so that requests are handled before a read.
 LATENCY_S = 0.2
-#: Milliseconds that a caller waits, so that its time ends in the suspension.
+#: Deadline of a request, which passes during the suspension.
 DEADLINE_MS = '1500'
 
 
@@ -38,7 +37,7 @@
 
 @contextmanager
 def suspend(deployment: Deployment) -> Iterator[None]:
-    """Suspend the router; what is done meanwhile happens while it sleeps."""
+    """Suspend the router for 3 s; the ``with`` block runs meanwhile."""
     process = deployment.processes.running['node-0']
     process.send_signal(signal.SIGSTOP)
     until = time.monotonic() + SUSPENSION_S
--- a/tests/functional/test_tokens_after_losses.py
+++ b/tests/functional/test_tokens_after_losses.py
@@ -1,4 +1,4 @@
-"""What is left of a budget when all routers were lost, again and again."""
+"""Usable tokens of a budget after repeated losses of all routers."""
 
 import itertools
 
@@ -10,10 +10,10 @@
 from tests.lib.users_caller import stream
 
 PREPAID = 150_000
-#: Part of what was paid that losses of routers may cost callers in all.
+#: Share of the paid tokens that losses of routers may cost callers in total.
 MAX_LOST_SHARE = 0.2
 LOSSES = 4
-#: Streams of a quiet workspace between two losses, over all routers.
+#: Streams of a workspace with low load between two losses, over all routers.
 STREAMS = 12
 
 
--- a/tests/functional/test_unread_events.py
+++ b/tests/functional/test_unread_events.py
@@ -1,9 +1,9 @@
-"""Events that an engine made and that no router read.
+"""Events that an engine generated and no router read are charged.
 
-With a link to an engine silent for 2 s, callers who left within it were charged
-for two events beyond those that had been read; the engine had gone on. A budget
-of 60,000 tokens was consumed to 60,111 and 60,114 (a seed of the soak, in three
-of seven plays).
+When the link to an engine is silent, for example for 2 s, the engine continues
+to generate. Fails if a caller that disconnects meanwhile is charged for only
+two events beyond those read: a budget of 60,000 tokens is then overspent to
+60,111 or 60,114 (a soak seed, in three of seven runs).
 """
 
 import signal
@@ -16,13 +16,13 @@
 from tests.soak.links import Links
 from tools.polling import HANG_GUARD
 
-#: Seconds for which the link is silent; an event comes each 0.01 s.
+#: Duration of the silence of the link; events are 0.01 s apart.
 SILENCE_S = 0.6
 PROMPT, MOST = 100, 200
 
 
 class LinkedDeployment:
-    """A deployment whose engines are behind proxies."""
+    """A deployment with a proxy before each engine."""
 
     def __init__(self, engines: int) -> None:
         self.deployment = Deployment(routers=1, engines=engines)
@@ -36,7 +36,7 @@
         self.deployment.start()
 
     def begin_stream(self) -> http_client.HTTPResponse:
-        """Ask for a stream, and read a little of it."""
+        """Request a stream, and read its beginning."""
         connection, _ = begin_stream(
             self.deployment,
             X_Token_Usage=f'{PROMPT},{MOST}',
@@ -47,11 +47,11 @@
         return answer
 
     def find_running(self) -> str:
-        """Tell which engine has a run."""
+        """Return the name of the engine that has a run."""
         return next(name for name in self.engines if self.count_made(name))
 
     def count_made(self, engine: str) -> int:
-        """Count the events that an engine made."""
+        """Count the events that an engine generated."""
         runs = self.deployment.control(engine)['runs']
         return sum(run['events'] for run in runs)
 
@@ -59,7 +59,7 @@
         return sum(map(self.count_made, self.engines))
 
     def stop_router(self) -> int:
-        """Stop the router; tell what it has charged."""
+        """Stop the router; return the tokens that it has charged."""
         stopped = self.deployment.processes.running['node-0']
         stopped.send_signal(signal.SIGTERM)
         assert stopped.wait(HANG_GUARD) == 0
@@ -72,7 +72,7 @@
 
 
 def has_logged(linked: LinkedDeployment, event: str) -> bool:
-    """Tell whether the router has logged an event."""
+    """Whether the router has logged an event."""
     events = linked.deployment.read_events('node-0')
     return event in {line['event'] for line in events}
 
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path, over processes of their own on loopback."""
+"""Requests through routers and stand-ins in separate processes on loopback."""
 
 import json
 
