--- a/tests/functional/test_bad_input.py
+++ b/tests/functional/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input of every kind is refused as not run, and nothing is spent."""
+"""Invalid input is refused as not run and consumes no tokens."""
 
 import json
 from http import client
@@ -15,7 +15,7 @@
 
 
 class Bad(NamedTuple):
-    """A body and the refusal it gets."""
+    """A body and the expected refusal."""
 
     body: bytes
     status: int = 422
@@ -46,7 +46,7 @@
     assert call_admin(start_fleet(), '/admin/bills') == before
 
 
-def test_stranger_is_refused() -> None:
+def test_a_wrong_key_is_refused() -> None:
     answer = ask(start_fleet(), 0, PATH, b'{}', authorization='Bearer no')
     assert answer.status == 401
 
--- a/tests/functional/test_control_paths.py
+++ b/tests/functional/test_control_paths.py
@@ -1,4 +1,4 @@
-"""Paths by which a caller could reach an engine's own calls."""
+"""Paths by which a caller could reach the control calls of an engine."""
 
 import uuid
 from http import client as http_client
@@ -13,20 +13,20 @@
 )
 from tools.polling import HANG_GUARD
 
-#: Paths that some servers read as one outside of the route.
-CLIMBING = (
+#: Paths that some servers resolve to a path outside the route.
+TRAVERSALS = (
     '/stream/../kv-list',
     '/stream/%2e%2e/hold-take',
     '/stream/a/.%2E/../kv-pin/aa',
     '/stream/./a',
 )
 ALLOWED = '/stream/a..b/report'
-#: Calls of engines that are a router's to make.
+#: Engine calls that only routers may make.
 CALLS = ('/hold-take', '/kv-pin/aa', '/report', '/%6bv-list')
 
 
 def ask(deployment: Deployment, path: str) -> int:
-    """Ask for a stream by a path as it is; return the status."""
+    """Request a stream by an unnormalized path; return the status."""
     connection = http_client.HTTPConnection(
         deployment.find_host('node-0'),
         deployment.ports['caller'],
@@ -53,15 +53,15 @@
 
 
 def test_no_path_of_a_caller_reaches_an_engines_own_calls() -> None:
-    # Dots in a path went on as they came, and a route of all paths took an
-    # engine's own calls: a caller could have it list, keep or move memory.
+    # Fails if dot segments are forwarded unchanged or if a route of all paths
+    # matches control calls: a caller could list, pin or move cached memory.
     deployment = Deployment(routers=1)
     everything = make_configuration(routes=(make_stream_route('/'),))
     deployment.start_servers(everything)
     deployment.start_router('node-0')
     deployment.wait_ready('node-0')
     assert wait_until(lambda: ask(deployment, ALLOWED) == 200)
-    assert {ask(deployment, path) for path in CLIMBING} == {400}
+    assert {ask(deployment, path) for path in TRAVERSALS} == {400}
     assert {ask(deployment, path) for path in CALLS} == {404}
     assert set(list_paths(deployment)) == {ALLOWED}
     deployment.stop()
--- a/tests/functional/test_crashing_requests.py
+++ b/tests/functional/test_crashing_requests.py
@@ -1,10 +1,9 @@
-"""A request that ends the servers that run it, over real processes.
+"""A request that crashes the servers that run it is quarantined.
 
-Users saw one request end a dozen model engines within 14 s. Its caller asked
-again, at another router each time; each send ended one more engine, and with
-it the answers of all others there. In twelve ends of twelve the same request
-had been sent there less than a second before. No router connected a request
-with the end of a server, and none knew it again when it was asked anew.
+Its caller retries at another router each time, and each send crashes one more
+server, with all other requests there: 12 engines within 14 s, each less than
+one second after the send. Fails if routers do not relate a request to the
+crash of its server, or do not recognise its retries.
 """
 
 import time
@@ -12,25 +11,25 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import NamedTuple
 
-from tests.lib.deployment import START_PATIENCE, Deployment
+from tests.lib.deployment import START_TIMEOUT_S, Deployment
 from tests.lib.server_keeper import ServerKeeper
 from tests.lib.users_caller import Reply, send, stream
 from tests.lib.users_objects import make_route, make_stream_route
 from tools.polling import poll_until
 
 CRASH = 'crash the server'
-#: Servers that a request may end before it counts as known, the seconds that
-#: all routers then have to learn it, and the sends that may still slip by.
-FREE_ENDS = 3
-LEARN_TIME = 3.0
-LATE_SENDS = 3
-#: Seconds between two asks, and those of a play before and after all routers
-#: are lost.
-ASK_PAUSE = 0.4
-FIRST_PLAY = 11.0
-SECOND_PLAY = 6.0
-#: Seconds for which a server is gone.
-DOWN_TIME = 2.0
+#: Crashes that a request may cause before its quarantine, the time until all
+#: routers have received that, and the sends allowed during this time.
+MAX_CRASHES = 3
+PROPAGATION_S = 3.0
+MAX_LATE_SENDS = 3
+#: Interval between requests, and the duration of the test before and after
+#: the loss of all routers.
+REQUEST_INTERVAL_S = 0.4
+FIRST_PHASE_S = 11.0
+SECOND_PHASE_S = 6.0
+#: Seconds for which a crashed server is down.
+DOWN_S = 2.0
 ROUTES = (
     make_route('/ask/', type='safe', service='llm', attempts=2),
     make_stream_route('/stream/'),
@@ -38,17 +37,17 @@
 
 
 class Innocent(NamedTuple):
-    """A request beside those that end servers."""
+    """A request other than the crashing one."""
 
     at: float
     reply: Reply
 
 
 class Play:
-    """Callers of one deployment; one of them ends servers."""
+    """Callers of one deployment, of which one sends the crashing request."""
 
     def __init__(
-        self, path: str, engines: int = 4, down_time: float = DOWN_TIME
+        self, path: str, engines: int = 4, down_time: float = DOWN_S
     ) -> None:
         self.deployment = Deployment(routers=3, engines=engines).start(
             routes=ROUTES
@@ -67,7 +66,7 @@
                 self._turn += 1
                 pool.submit(self.ask, CRASH, router)
                 pool.submit(self._ask_innocent, router)
-                time.sleep(ASK_PAUSE)
+                time.sleep(REQUEST_INTERVAL_S)
 
     def lose_all_routers(self) -> None:
         for name in self.deployment.names:
@@ -79,9 +78,9 @@
 
     def count_late_ends(self) -> int:
         ends = self.keeper.ends
-        if len(ends) < FREE_ENDS:
+        if len(ends) < MAX_CRASHES:
             return 0
-        known_at = ends[FREE_ENDS - 1] + LEARN_TIME
+        known_at = ends[MAX_CRASHES - 1] + PROPAGATION_S
         return sum(ended > known_at for ended in ends)
 
     def stop(self) -> None:
@@ -99,8 +98,8 @@
 
 
 def list_failed(play: Play) -> list[int]:
-    """List what innocent requests got after all could know."""
-    known_at = play.keeper.ends[FREE_ENDS - 1] + LEARN_TIME + DOWN_TIME
+    """List failures of innocent requests after the propagation time."""
+    known_at = play.keeper.ends[MAX_CRASHES - 1] + PROPAGATION_S + DOWN_S
     return [
         one.reply.status
         for one in play.innocent
@@ -110,17 +109,17 @@
 
 def check_play(path: str) -> None:
     play = Play(path)
-    play.run(FIRST_PLAY)
+    play.run(FIRST_PHASE_S)
     first_late = play.count_late_ends()
     failed = list_failed(play)
     play.lose_all_routers()
-    play.run(SECOND_PLAY)
+    play.run(SECOND_PHASE_S)
     late = play.count_late_ends()
     play.stop()
-    assert len(play.keeper.ends) >= FREE_ENDS, 'the request ends servers'
-    assert first_late <= LATE_SENDS, (first_late, play.keeper.ends)
+    assert len(play.keeper.ends) >= MAX_CRASHES, 'the request ends servers'
+    assert first_late <= MAX_LATE_SENDS, (first_late, play.keeper.ends)
     assert not failed, f'innocent requests got {failed}'
-    assert late <= LATE_SENDS, f'{late} after all routers were lost'
+    assert late <= MAX_LATE_SENDS, f'{late} after all routers were lost'
 
 
 def test_a_call_that_ends_servers_is_known_to_all_routers() -> None:
@@ -135,26 +134,26 @@
     for name in play.deployment.backend_ports:
         if name.startswith('engine'):
             play.deployment.processes.running[name].kill()
-    time.sleep(DOWN_TIME + 1)
+    time.sleep(DOWN_S + 1)
 
 
 def ask_everywhere(play: Play, pool: ThreadPoolExecutor) -> None:
     for router in 4 * play.deployment.names:
         pool.submit(play.ask, 'hot', router)
-    time.sleep(ASK_PAUSE)
+    time.sleep(REQUEST_INTERVAL_S)
 
 
 def ask_once(play: Play, pool: ThreadPoolExecutor) -> None:
     pool.submit(play.ask, 'hot', play.deployment.names[0])
-    time.sleep(ASK_PAUSE)
+    time.sleep(REQUEST_INTERVAL_S)
 
 
 def wait_all_there(play: Play) -> None:
-    """Wait until all servers listen; they are listed before."""
+    """Wait until all servers listen; the store lists them earlier."""
     play.keeper.wait_all_up()
     names = tuple(play.deployment.backend_ports)
     assert poll_until(
-        lambda: all(map(play.deployment.is_listening, names)), START_PATIENCE
+        lambda: all(map(play.deployment.is_listening, names)), START_TIMEOUT_S
     )
 
 
@@ -167,7 +166,7 @@
 
 
 def check_losses(ask: Callable[[Play, ThreadPoolExecutor], None]) -> None:
-    """Lose all servers time and again, each time with a question there."""
+    """Crash all servers repeatedly, each time while requests run there."""
     play = Play('/ask/hot/slow')
     for _ in range(4):
         with ThreadPoolExecutor() as pool:
@@ -181,11 +180,12 @@
     assert 'quarantined' not in codes
 
 
-def test_a_hot_question_is_never_blamed_for_a_loss_of_all_servers() -> None:
-    # Everybody asks the same, so that each server that ends runs it.
+def test_a_frequent_request_is_not_blamed_for_a_loss_of_all_servers() -> None:
+    # All callers send the same request, so that each crashed server runs it.
     check_losses(ask_everywhere)
 
 
-def test_the_only_request_is_never_blamed_for_a_loss_of_all_servers() -> None:
-    # Nothing is sent to the others, so that no send tells of their ends.
+def test_the_only_request_is_not_blamed_for_a_loss_of_all_servers() -> None:
+    # The other servers get no requests, so that no failed send shows their
+    # crash.
     check_losses(ask_once)
--- a/tests/functional/test_entry_answers.py
+++ b/tests/functional/test_entry_answers.py
@@ -1,4 +1,4 @@
-"""Entry answers name no router for longer than users allow."""
+"""Entry responses stop naming a router that is gone within the users' bound."""
 
 import functools
 import time
@@ -8,9 +8,9 @@
 from tests.lib.users_objects import HOST
 from tools.calls import call
 
-#: Seconds after which a router that is gone may not be named any more: until
-#: the others count as in touch, and 3 s.
-GONE_TIME = 4.0 + 3.0
+#: Time until a router that is gone is not named any more: the time until the
+#: others count as in contact, and 3 s.
+GONE_WITHIN_S = 4.0 + 3.0
 ASKS = 10
 
 
@@ -20,7 +20,7 @@
 
 
 def list_named(deployment: Deployment, router: str) -> set[str]:
-    """List all that some answers of one router name."""
+    """List the routers that several responses of one router name."""
     url = deployment.find_url(router, 'entry')
     answers = [call(f'{url}/resolve?name={HOST}') for _ in range(ASKS)]
     return {one for answer in answers for one in answer['addresses']}
@@ -38,7 +38,7 @@
 
 
 def check_not_named(deployment: Deployment, gone_at: float) -> None:
-    time.sleep(max(0, gone_at + GONE_TIME - time.monotonic()))
+    time.sleep(max(0, gone_at + GONE_WITHIN_S - time.monotonic()))
     for _ in range(3):
         assert not is_named_by_others(deployment, 'node-2')
         time.sleep(0.5)
@@ -51,7 +51,7 @@
     process.kill()
     process.wait()
     check_not_named(deployment, time.monotonic())
-    # Once it has started again it is named, though its old entry was known.
+    # A restarted router is named although its old entry is still cached.
     deployment.start_router('node-2')
     assert wait_until(lambda: is_named_by_others(deployment, 'node-2'))
 
@@ -63,7 +63,7 @@
     process.terminate()
     stopping_at = time.monotonic()
     assert wait_until(lambda: not is_named_by_others(deployment, 'node-2'))
-    assert time.monotonic() < stopping_at + GONE_TIME
+    assert time.monotonic() < stopping_at + GONE_WITHIN_S
     process.wait()
     check_not_named(deployment, time.monotonic())
     deployment.start_router('node-2')
--- a/tests/functional/test_evacuations.py
+++ b/tests/functional/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Halls that are emptied: nothing new reaches their backend servers."""
+"""Evacuated halls: no new request reaches their backend servers."""
 
 import functools
 import time
@@ -10,10 +10,10 @@
 from tests.lib.users_settings import EVACUATE_MS
 
 OTHER_HALL = 'curitiba'
-#: Seconds after which an evacuation is in force, with some for the machine.
-EVACUATE_TIME = EVACUATE_MS / 1000
-#: Seconds within which a refusal that waits for nothing is there.
-AT_ONCE = 0.5
+#: Time until an evacuation is in force.
+EVACUATION_S = EVACUATE_MS / 1000
+#: Longest duration of an immediate refusal.
+IMMEDIATE_REFUSAL_S = 0.5
 
 
 @functools.cache
@@ -38,7 +38,7 @@
 
 
 def ask_all(deployment: Deployment, count: int) -> list[Reply]:
-    # A prompt of its own each time: no engine is preferred for what it keeps.
+    # Each prompt is new, so that no engine is preferred for its cache.
     return [
         stream(deployment, prompt=f'a{number}:100', router=router)
         for number in range(count)
@@ -50,12 +50,12 @@
     deployment = start_two_halls()
     connection, _ = begin_stream(deployment)
     evacuate(deployment, OTHER_HALL)
-    time.sleep(EVACUATE_TIME)
+    time.sleep(EVACUATION_S)
     before = count_arrivals(deployment, 'engine-1')
     replies = ask_all(deployment, 10)
     assert {reply.status for reply in replies} == {200}
     assert count_arrivals(deployment, 'engine-1') == before
-    # What breaks off goes on in no hall that is emptied.
+    # A truncated stream is not resumed in an evacuated hall.
     deployment.control('engine-0', fault='cut')
     assert not stream(deployment).whole
     deployment.control('engine-0', fault='')
@@ -67,21 +67,21 @@
         return count_arrivals(deployment, 'engine-1') > before
 
     assert wait_until(is_used_again)
-    # What ran there goes on to its end.
+    # Requests that already run there complete.
     assert connection.getresponse().read().count(b'data:') == 20
 
 
 def test_a_service_without_another_hall_is_refused_at_once() -> None:
     deployment = start_two_halls()
     evacuate(deployment, HALL, OTHER_HALL)
-    time.sleep(EVACUATE_TIME)
+    time.sleep(EVACUATION_S)
     before = count_arrivals(deployment, 'plain-0')
     for router in deployment.names:
         asked_at = time.monotonic()
         reply = send(deployment, '/order/1', router)
         assert reply.status == 503
         assert float(reply.headers['retry-after']) > 0
-        assert time.monotonic() - asked_at < AT_ONCE
+        assert time.monotonic() - asked_at < IMMEDIATE_REFUSAL_S
         assert stream(deployment, router=router).status == 503
     assert count_arrivals(deployment, 'plain-0') == before
     take_back(deployment, HALL, OTHER_HALL)
@@ -106,7 +106,7 @@
         ['evacuations', 'JOINVILLE', None],
     ]
     deployment.control('store', put=foreign)
-    time.sleep(EVACUATE_TIME)
+    time.sleep(EVACUATION_S)
     assert send(deployment, '/order/1').status == 200
     assert {reply.status for reply in ask_all(deployment, 2)} == {200}
     take_back(deployment, *(name for _, name, _ in foreign))
@@ -116,10 +116,10 @@
     deployment = start_two_halls()
     deployment.control('store', away=True)
     time.sleep(1)
-    # The operator's write is done; it is confirmed with the store's return.
+    # The write is applied, and confirmed when the store is available again.
     evacuate(deployment, OTHER_HALL)
     deployment.control('store', away=False)
-    time.sleep(EVACUATE_TIME)
+    time.sleep(EVACUATION_S)
     before = count_arrivals(deployment, 'engine-1')
     assert {reply.status for reply in ask_all(deployment, 5)} == {200}
     assert count_arrivals(deployment, 'engine-1') == before
--- a/tests/functional/test_late_configuration.py
+++ b/tests/functional/test_late_configuration.py
@@ -1,18 +1,18 @@
-"""Refused for good, by a configuration that was no longer in force.
+"""Final refusals must not come from an outdated configuration.
 
-A caller asked a route that operators had added and got 404, 4.2 s after the
-store had confirmed the change; 3 s are promised there. The router used all of
-its processor for 9 s (48 to 51 % of a core where 0.516 are given) and read
-nothing from the store for 4 s, while 334 callers left it unserved: reads and
-news waited behind requests, and nothing asked how old the configuration was.
+A caller of an added route must not get 404 later than 3 s after the store
+confirms the change. A router that uses all of its CPU share for 9 s (48 to 51 %
+of a core of its 0.516) may read nothing from the store for 4 s, since reads and
+gossip messages wait behind requests, of which 334 end without a response. Fails
+if the age of the configuration is not checked: 404 after 4.2 s.
 
-By hand, a router that runs for 6 to 10 % of the time had the change 1.3, 2.1
-and 3.7 s after it was confirmed, and took its knowledge for 0.1, 0.9 and 1.2 s
-old just then: news that had waited in its buffers counted as new.
+A router that runs for 6 to 10 % of the time applies a change 1.3, 2.1 or 3.7 s
+after its confirmation. Fails if messages that waited in its buffers count as
+new, so that it takes its configuration for 0.1, 0.9 or 1.2 s old.
 
-Without any load a change came as late when the connections that a router kept
-to the store had gone silent: a read was due after 1.4 s, waited 2 s for an
-answer, then 0.5 s, and the next one could take another silent connection.
+Silent connections to the store delay a change as much without any load: a read
+is due after 1.4 s, times out after 2 s, is retried after 0.5 s, and may get
+another silent connection.
 """
 
 import signal
@@ -27,48 +27,50 @@
 from tests.soak.links import Links
 from tests.soak.proxy import STALE
 
-#: Seconds until a change is in force, as the users' settings say.
-PROMISED = 2.0
-#: Seconds after that for which callers ask.
-ASKED = 3.0
-#: Seconds until requests have reached a router that stands still.
-PAUSE = 0.5
-#: Seconds that the store takes for an answer, so that no read comes first.
-LATENCY = 0.2
+#: Time until a change is in force, by the users' settings.
+PROMISED_S = 2.0
+#: Time after that for which callers send requests.
+REQUESTS_S = 3.0
+#: Time until requests have reached a router whose process is stopped.
+ARRIVAL_S = 0.5
+#: Response time of the store, so that requests are handled before a read.
+LATENCY_S = 0.2
 
 
 def add_route(deployment: Deployment) -> float:
-    """Add a route; return when the store had confirmed it."""
+    """Add a route; return the time of the store's confirmation."""
     routes = (*ROUTES, make_route('/new/'))
     changed = make_configuration(version=7, prepaid=10**8, routes=routes)
     deployment.control('store', put=[['config', 'main', changed]])
     return time.monotonic()
 
 
-def wait_for_promise(since: float) -> None:
-    """Wait until a change has to be in force."""
-    time.sleep(max(0, since + PROMISED - time.monotonic()))
+def wait_until_in_force(since: float) -> None:
+    """Wait until a change must be in force."""
+    time.sleep(max(0, since + PROMISED_S - time.monotonic()))
 
 
 def ask_new_route(deployment: Deployment, since: float) -> Iterator[int]:
-    """Ask the new route from when it has to be known; tell the answers."""
-    wait_for_promise(since)
-    while time.monotonic() < since + PROMISED + ASKED:
+    """Call the new route once it must be in force; yield the statuses."""
+    wait_until_in_force(since)
+    while time.monotonic() < since + PROMISED_S + REQUESTS_S:
         yield send(deployment, '/new/1').status
         time.sleep(0.1)
 
 
-def test_a_router_that_got_to_nothing_refuses_nothing_for_good() -> None:
-    # Its loop stands still from before the change until after the promise,
-    # its watch has heard nothing, and requests wait when it goes on.
+def test_a_router_with_an_outdated_configuration_refuses_nothing_for_good() -> (
+    None
+):
+    # The process is stopped from before the change until it must be in force,
+    # its watch has received nothing, and requests wait when it continues.
     deployment = Deployment(routers=1).start()
-    deployment.control('store', deaf=True, latency=LATENCY)
+    deployment.control('store', deaf=True, latency=LATENCY_S)
     process = deployment.processes.running['node-0']
     process.send_signal(signal.SIGSTOP)
-    wait_for_promise(add_route(deployment))
+    wait_until_in_force(add_route(deployment))
     with ThreadPoolExecutor() as caller:
         asked = [caller.submit(send, deployment, '/new/1') for _ in range(4)]
-        time.sleep(PAUSE)
+        time.sleep(ARRIVAL_S)
         process.send_signal(signal.SIGCONT)
     answers = {one.result().status for one in asked}
     assert 404 not in answers, answers
--- a/tests/functional/test_single_server_crashes.py
+++ b/tests/functional/test_single_server_crashes.py
@@ -1,8 +1,8 @@
-"""A request that ends the one server of its service, beside slow ones.
+"""A request that crashes the only server of its service, beside slow requests.
 
-A slow request that is always under way there breaks off at each end too, and
-as the server lives for less time than the slow one takes, it never runs to its
-end: it has to be told from the guilty one all the same.
+A slow request is in progress at each crash too, and never completes since the
+server runs for less time than it needs. Fails if it is quarantined like the
+crashing request.
 """
 
 import itertools
@@ -11,22 +11,22 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from tests.functional.test_crashing_requests import (
-    ASK_PAUSE,
+    REQUEST_INTERVAL_S,
     CRASH,
-    FREE_ENDS,
-    LATE_SENDS,
+    MAX_CRASHES,
+    MAX_LATE_SENDS,
     Play,
 )
 
 PATH = '/ask/hot/slow'
 SLOW = ('slow a', 'slow b')
-#: Seconds of a play, and those in which it has to be over for slow requests.
-PLAY_TIME = 20.0
-SERVED_TIME = 5.0
-#: Seconds until the server is back.
-DOWN_TIME = 1.0
-#: Seconds from an answer until its caller asks anew.
-RETRY_PAUSE = 0.02
+#: Duration of the test phase, and time until slow requests must be served.
+PHASE_S = 20.0
+SERVED_WITHIN_S = 5.0
+#: Time until the server restarts.
+DOWN_S = 1.0
+#: Time from a response to the next request of its caller.
+RETRY_DELAY_S = 0.02
 OK = 200
 
 
@@ -36,30 +36,30 @@
     router: str,
     ending: threading.Event,
 ) -> None:
-    """Ask anew as soon as there is an answer."""
+    """Send a new request after each response."""
     while not ending.is_set():
         play.ask(body, router)
-        time.sleep(RETRY_PAUSE)
+        time.sleep(RETRY_DELAY_S)
 
 
 def run_play(play: Play) -> None:
-    """Ask for what ends the server at each router in turn, beside slow ones."""
+    """Send the crashing request to each router in turn, beside slow ones."""
     ending = threading.Event()
-    ends_at = time.monotonic() + PLAY_TIME
+    ends_at = time.monotonic() + PHASE_S
     with ThreadPoolExecutor() as pool:
         for body, router in itertools.product(SLOW, play.deployment.names):
             pool.submit(ask_all_the_time, play, body, router, ending)
         for router in itertools.cycle(play.deployment.names):
             pool.submit(play.ask, CRASH, router)
-            time.sleep(ASK_PAUSE)
+            time.sleep(REQUEST_INTERVAL_S)
             if time.monotonic() > ends_at:
                 break
         ending.set()
 
 
 def list_unserved(play: Play) -> set[str]:
-    """List the slow requests that are still refused after a while."""
-    until = time.monotonic() + SERVED_TIME
+    """List the slow requests that are refused after they must be served."""
+    until = time.monotonic() + SERVED_WITHIN_S
     unserved = set(SLOW)
     while unserved and time.monotonic() < until:
         for body in tuple(unserved):
@@ -68,12 +68,12 @@
     return unserved
 
 
-def test_slow_requests_beside_it_do_not_hide_who_ends_the_only_server() -> None:
-    play = Play(PATH, engines=1, down_time=DOWN_TIME)
+def test_slow_requests_beside_it_do_not_hide_the_crashing_request() -> None:
+    play = Play(PATH, engines=1, down_time=DOWN_S)
     run_play(play)
     late = play.count_late_ends()
     unserved = list_unserved(play)
     play.stop()
-    assert len(play.keeper.ends) >= FREE_ENDS, 'the request ends servers'
-    assert late <= LATE_SENDS, (late, play.keeper.ends)
+    assert len(play.keeper.ends) >= MAX_CRASHES, 'the request ends servers'
+    assert late <= MAX_LATE_SENDS, (late, play.keeper.ends)
     assert not unserved, f'still refused: {unserved}'
--- a/tests/lib/crash_days.py
+++ b/tests/lib/crash_days.py
@@ -1,4 +1,4 @@
-"""Days on which servers end, told to a table of crashes as routers would."""
+"""Simulated days with server crashes, recorded in a crash table."""
 
 import random
 from typing import NamedTuple
@@ -12,29 +12,29 @@
 from dykemast._internal.operations.crash_review import review_suspects
 from dykemast._internal.operations.crash_table import CrashTable
 
-#: Seconds of a step, of a day, and until a server is back.
-STEP = 0.05
-DAY = 60.0
-DOWN_TIME = 3.0
+#: Seconds of a step, of a day, and until a server restarts.
+STEP_S = 0.05
+DAY_S = 60.0
+DOWN_S = 3.0
 SERVERS = 9
-#: Routers judge anew every 0.2 s.
-STEPS_A_REVIEW = 4
-#: Seconds until a run brings events, and for which it goes on.
-READ_TIME = 0.3
-LONGEST_RUN = 5.0
+#: Routers review suspects every 0.2 s.
+STEPS_PER_REVIEW = 4
+#: Seconds until the first event of a run, and longest duration of a run.
+FIRST_EVENT_S = 0.3
+LONGEST_RUN_S = 5.0
 SERVICE = 'llm'
 
 
 class Day(NamedTuple):
-    """What happens on a day.
+    """Load and crashes of a simulated day.
 
-    :param seed: of all draws.
-    :param asks: requests a second.
-    :param hot: share of them that are one and the same.
-    :param deaths: servers a second that end by themselves.
+    :param seed: seed of the random generator.
+    :param asks: requests per second.
+    :param hot: share of requests that are identical.
+    :param deaths: server crashes per second that no request causes.
     :param losses: seconds between two losses of all servers; 0 for none.
-    :param guilty: seconds between two asks of a request that ends servers; 0
-        for none.
+    :param guilty: seconds between two sends of the crashing request; 0 for
+        none.
     """
 
     seed: int
@@ -46,7 +46,7 @@
 
 
 class Run(NamedTuple):
-    """A request at a server."""
+    """A request that runs on a server."""
 
     request: str
     server: int
@@ -55,14 +55,14 @@
 
 
 GUILTY = 'guilty'
-#: Seconds from its send until a guilty request has ended its server.
-CRASH_TIME = 0.15
+#: Seconds from the send of a crashing request to the crash of its server.
+CRASH_DELAY_S = 0.15
 
 
 class CrashDay:
-    """Plays a day; requests in quarantine are not sent.
+    """Simulation of a day; quarantined requests are not sent.
 
-    :param day: what happens.
+    :param day: load and crashes.
     """
 
     def __init__(self, day: Day) -> None:
@@ -76,24 +76,24 @@
         self.guilty_ends = 0
 
     def play(self) -> 'CrashDay':
-        for step in range(round(DAY / STEP)):
-            now = step * STEP
+        for step in range(round(DAY_S / STEP_S)):
+            now = step * STEP_S
             self._ask(now)
             self._end_runs(now)
             self._end_servers(now)
-            if not step % STEPS_A_REVIEW:
+            if not step % STEPS_PER_REVIEW:
                 self.condemned.update(review_suspects(self.table, now))
         return self
 
     def _ask(self, now: float) -> None:
         chance = self._chance
-        if chance.random() < self._day.asks * STEP:
+        if chance.random() < self._day.asks * STEP_S:
             is_hot = chance.random() < self._day.hot
             name = 'hot' if is_hot else f'request-{chance.random()}'
-            lasts = chance.uniform(READ_TIME, LONGEST_RUN)
+            lasts = chance.uniform(FIRST_EVENT_S, LONGEST_RUN_S)
             self._send(name, now, lasts)
-        if self._day.guilty and now % self._day.guilty < STEP:
-            self._send(GUILTY, now, CRASH_TIME)
+        if self._day.guilty and now % self._day.guilty < STEP_S:
+            self._send(GUILTY, now, CRASH_DELAY_S)
 
     def _send(self, request: str, now: float, lasts: float) -> None:
         up = [one for one, until in self._down_until.items() if until <= now]
@@ -103,7 +103,7 @@
 
     def _end_runs(self, now: float) -> None:
         for begun in self._runs:
-            if READ_TIME + SUSPECT_WINDOW_S < now - begun.sent_at:
+            if FIRST_EVENT_S + SUSPECT_WINDOW_S < now - begun.sent_at:
                 clear_suspect(self.table, begun.request, now)
         over = [one for one in self._runs if one.ends_at <= now]
         for run in over:
@@ -117,9 +117,9 @@
     def _end_servers(self, now: float) -> None:
         day = self._day
         for server in range(SERVERS):
-            if self._chance.random() < day.deaths * STEP / SERVERS:
+            if self._chance.random() < day.deaths * STEP_S / SERVERS:
                 self._end_server(server, now)
-        if day.losses and now and now % day.losses < STEP:
+        if day.losses and now and now % day.losses < STEP_S:
             for server in range(SERVERS):
                 self._end_server(server, now)
 
@@ -129,15 +129,15 @@
         ended = [one for one in self._runs if one.server == server]
         self._runs = [one for one in self._runs if one.server != server]
         up = sum(
-            until <= now or until == now + DOWN_TIME
+            until <= now or until == now + DOWN_S
             for until in self._down_until.values()
         )
-        self._down_until[server] = now + DOWN_TIME
+        self._down_until[server] = now + DOWN_S
         self._starts[server] += 1
         suspects = tuple(
             Suspect(one.request, now - one.sent_at)
             for one in ended
-            if now - one.sent_at - READ_TIME <= SUSPECT_WINDOW_S
+            if now - one.sent_at - FIRST_EVENT_S <= SUSPECT_WINDOW_S
         )
         name = f'{server}/{self._starts[server]}'
         crash = ServerCrash(name, 0, suspects, SERVICE, up - 1)
--- a/tests/lib/crowd.py
+++ b/tests/lib/crowd.py
@@ -1,4 +1,4 @@
-"""Many callers that ask all routers at once, and what servers get of it."""
+"""Concurrent callers of all routers, and the request rate at servers."""
 
 import time
 from collections.abc import Callable
@@ -9,14 +9,14 @@
 from tests.lib.users_caller import Reply, send, stream
 
 CALLERS = 16
-#: Seconds in which a refusal is given.
-AT_ONCE = 1.0
+#: Longest duration of an immediate refusal.
+IMMEDIATE_REFUSAL_S = 1.0
 
 Ask = Callable[[Deployment, str], Reply]
 
 
 class Asked(NamedTuple):
-    """A reply, when it was asked for and how many seconds it took."""
+    """A reply, the time of its request and its duration in seconds."""
 
     reply: Reply
     at: float
@@ -31,13 +31,13 @@
     return send(deployment, '/price/1', router=router)
 
 
-def start_plenty(routers: int, engines: int) -> Deployment:
-    """Start a deployment whose budget lasts."""
+def start_with_large_budget(routers: int, engines: int) -> Deployment:
+    """Start a deployment whose budget the test does not exhaust."""
     return Deployment(routers, engines).start(prepaid=100_000_000)
 
 
 def ask_all(deployment: Deployment, ask: Ask, seconds: float) -> list[Asked]:
-    """Ask all routers at once, again and again."""
+    """Send requests to all routers concurrently for ``seconds``."""
     until = time.monotonic() + seconds
 
     def ask_one(number: int) -> list[Asked]:
@@ -54,10 +54,10 @@
         return [one for replies in found for one in replies]
 
 
-def find_busiest(
+def count_busiest_window(
     deployment: Deployment, server: str, since: float, window: float = 1
 ) -> int:
-    """Count the arrivals in the busiest window of some seconds."""
+    """Count the arrivals in the busiest window of the given length."""
     arrivals = deployment.control(server)['arrivals']
     times = [at for _, at in arrivals if at >= since]
     return max(
@@ -67,10 +67,10 @@
 
 
 def check_refusals(asked: list[Asked]) -> None:
-    """Check that some were refused, each at once and as not run."""
+    """Check that some were refused, each immediately and as not run."""
     refused = [one for one in asked if one.reply.status != 200]
     assert refused
     for one in refused:
         assert one.reply.status == 503
         assert float(one.reply.headers['retry-after']) > 0
-        assert one.took < AT_ONCE
+        assert one.took < IMMEDIATE_REFUSAL_S
--- a/tests/lib/server_keeper.py
+++ b/tests/lib/server_keeper.py
@@ -1,4 +1,4 @@
-"""Start backend servers again that ended, as the users' platform does."""
+"""Restart crashed backend servers, as the users' platform does."""
 
 import threading
 import time
@@ -7,16 +7,16 @@
 from tests.lib.deployment import Deployment
 from tests.lib.users_objects import make_next_start
 
-#: Seconds between two looks.
-LOOK_PAUSE = 0.02
+#: Interval of checks for crashed servers.
+CHECK_INTERVAL_S = 0.02
 
 
 class ServerKeeper:
-    """Watches the servers of a deployment until ``stop``.
+    """Restarts crashed servers of a deployment until ``stop``.
 
-    :param deployment: whose servers may end.
-    :param down_time: seconds until one is back, under a new start.
-    :param tell_end: called with the name of one that ended.
+    :param deployment: deployment whose servers may crash.
+    :param down_time: seconds until a server restarts as a new incarnation.
+    :param tell_end: called with the name of a crashed server.
     """
 
     def __init__(
@@ -30,15 +30,15 @@
         self._tell_end = tell_end
         self._stopping = threading.Event()
         self._back_at: dict[str, float] = {}
-        #: When servers ended, in order.
+        #: Times of crashes, in order.
         self.ends: list[float] = []
         self._thread = threading.Thread(target=self._watch)
         self._thread.start()
 
     def wait_all_up(self) -> None:
-        """Wait until no server is gone."""
+        """Wait until no server is down."""
         while self._back_at:
-            time.sleep(LOOK_PAUSE)
+            time.sleep(CHECK_INTERVAL_S)
 
     def stop(self) -> None:
         self._stopping.set()
@@ -46,11 +46,11 @@
 
     def _watch(self) -> None:
         names = set(self._deployment.backend_ports) - {'store'}
-        while not self._stopping.wait(LOOK_PAUSE):
+        while not self._stopping.wait(CHECK_INTERVAL_S):
             for name in names:
-                self._look(name, time.monotonic())
+                self._check_server(name, time.monotonic())
 
-    def _look(self, name: str, now: float) -> None:
+    def _check_server(self, name: str, now: float) -> None:
         process = self._deployment.processes.running[name]
         back_at = self._back_at.get(name)
         if back_at is None and process.poll() is not None:
--- a/tests/lib/suspended_router.py
+++ b/tests/lib/suspended_router.py
@@ -1,19 +1,19 @@
-"""A router on a machine that is suspended whenever the process stands still.
+"""Router that takes a stop of its process for a suspension of its machine.
 
-``python -m tests.lib.suspended_router``. Its steady clock then does not count
-that time, as that of a machine that sleeps; the clock that counts it does.
+``python -m tests.lib.suspended_router``. While the process is stopped, its
+monotonic clock stands still and its boot-time clock goes on.
 """
 
 import time
 
-#: Seconds between two readings of the clock that show a suspension: loops of
-#: a router read it many times a second.
-SHORTEST = 1.0
+#: A longer interval between two clock reads is a suspension: the background
+#: loops of a router read the clock many times a second.
+MIN_SUSPENSION_S = 1.0
 
 _read_running = time.monotonic
 
 
-class _SteadyClock:
+class _MonotonicClock:
     def __init__(self) -> None:
         self._seen = _read_running()
         self._slept = float()
@@ -21,14 +21,14 @@
     def read(self) -> float:
         now = _read_running()
         gap = now - self._seen
-        if gap > SHORTEST:
+        if gap > MIN_SUSPENSION_S:
             self._slept += gap
         self._seen = now
         return now - self._slept
 
 
 if __name__ == '__main__':
-    time.monotonic = _SteadyClock().read
+    time.monotonic = _MonotonicClock().read
 
     from dykemast._internal.commands.instance import run_instance
 
