--- a/src/dykemast/_internal/commands/instance.py
+++ b/src/dykemast/_internal/commands/instance.py
@@ -19,7 +19,7 @@
 #: Bytes of randomness in an incarnation.
 INCARNATION_BYTES: Final = 8
 #: Exit code for findings in the settings.
-FINDINGS: Final = 2
+EXIT_CODE_FINDINGS: Final = 2
 
 
 def run_instance() -> None:
@@ -28,7 +28,7 @@
         settings = read_settings()
     except InvalidFileError as error:
         sys.stderr.write(f'dykemast: {error}\n')
-        sys.exit(FINDINGS)
+        sys.exit(EXIT_CODE_FINDINGS)
     board = ServingBoard(settings, secrets.token_hex(INCARNATION_BYTES))
     lines = open_log(
         {
--- a/src/dykemast/_internal/network/admin_client.py
+++ b/src/dykemast/_internal/network/admin_client.py
@@ -14,7 +14,7 @@
 )
 
 #: Seconds to wait for an answer.
-CALL_TIMEOUT: Final = 15.0
+CALL_TIMEOUT_S: Final = 15.0
 _CONFLICT: Final = 409
 _INVALID: Final = 422
 _OK: Final = 200
@@ -57,7 +57,7 @@
     path: str,
     fields: dict[str, Any] | None,
 ) -> Any:
-    timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT)
+    timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
     headers = {'authorization': f'Bearer {address.key}'}
     async with aiohttp.ClientSession(timeout=timeout) as session:
         call = session.request(
--- a/src/dykemast/_internal/network/admin_writes.py
+++ b/src/dykemast/_internal/network/admin_writes.py
@@ -35,7 +35,7 @@
     :param request: carries a :class:`Submission`.
     :returns: no findings; those there are come as an error.
     """
-    order = await _read_order(request, Submission)
+    order = await _read_body(request, Submission)
     check_configuration(order.path, order.text)
     return {'findings': []}
 
@@ -47,7 +47,7 @@
     :param request: carries a :class:`Submission`.
     :returns: the revision's number and the differences.
     """
-    order = await _read_order(request, Submission)
+    order = await _read_body(request, Submission)
     configuration = check_configuration(order.path, order.text)
     newest = await parts.store.read_newest()
     found = compare_configurations(newest.configuration, configuration)
@@ -64,7 +64,7 @@
     :param request: carries a :class:`Submission`.
     :returns: the revision's number.
     """
-    order = await _read_order(request, Submission)
+    order = await _read_body(request, Submission)
     if not order.submission:
         raise msgspec.ValidationError('A submission has an id.')
     configuration = check_configuration(order.path, order.text)
@@ -81,7 +81,7 @@
     :param request: carries a ``TopupIntent``.
     :returns: the budget after it.
     """
-    order = await _read_order(request, TopupIntent)
+    order = await _read_body(request, TopupIntent)
     _check_topup(parts, order)
     shards = parts.board.settings.get('budget_shards', 1)
     ledger = f'{PREFIX}{choose_shard(order.budget, shards)}'
@@ -100,7 +100,7 @@
         raise msgspec.ValidationError('A top-up has an id and tokens above 0.')
 
 
-async def _read_order(request: Request, shape: Any) -> Any:
+async def _read_body(request: Request, shape: Any) -> Any:
     body = await request.body()
     fields = msgspec.json.decode(body, type=dict[str, Any])
     known = [name for name in shape._fields if name in fields]
--- a/src/dykemast/_internal/network/backends.py
+++ b/src/dykemast/_internal/network/backends.py
@@ -12,11 +12,11 @@
 from dykemast._internal.utils.clock import read_clock
 
 #: Seconds to wait for a connection.
-CONNECT_TIMEOUT: Final = 1.0
+CONNECT_TIMEOUT_S: Final = 1.0
 #: Seconds without a byte after which a server counts as stuck.
-STALL_TIMEOUT: Final = 30.0
+STALL_TIMEOUT_S: Final = 30.0
 #: Seconds to wait for a load report.
-LOAD_TIMEOUT: Final = 1.0
+LOAD_TIMEOUT_S: Final = 1.0
 #: Connections to all backend servers together, at most.
 MAX_CONNECTIONS: Final = 4096
 #: Answers by which a server says that it did not start the order.
@@ -77,7 +77,7 @@
         :raises UpstreamError: when it gave none.
         """
         url = f'http://{instance.host}:{instance.port}/load'
-        timeout = aiohttp.ClientTimeout(total=LOAD_TIMEOUT)
+        timeout = aiohttp.ClientTimeout(total=LOAD_TIMEOUT_S)
         call = self._choose_session(repeatable=True).get(url, timeout=timeout)
         try:
             fields = await _read_fields(call)
@@ -143,8 +143,8 @@
         ),
         timeout=aiohttp.ClientTimeout(
             total=None,
-            sock_connect=CONNECT_TIMEOUT,
-            sock_read=STALL_TIMEOUT,
+            sock_connect=CONNECT_TIMEOUT_S,
+            sock_read=STALL_TIMEOUT_S,
         ),
         auto_decompress=False,
     )
--- a/src/dykemast/_internal/network/fleet_calls.py
+++ b/src/dykemast/_internal/network/fleet_calls.py
@@ -9,7 +9,7 @@
 from thriftpy2.thrift import TException, TPayload, TType, gen_init
 
 #: Kind and name of each word of a call, in order.
-Words = tuple[tuple[int, str], ...]
+Arguments = tuple[tuple[int, str], ...]
 
 
 class Refused(TException):
@@ -25,7 +25,7 @@
     return gen_init(made, spec, [(field, None) for field in names])
 
 
-def _make_words(name: str, words: Words) -> type:
+def _make_arguments(name: str, words: Arguments) -> type:
     """Make the struct of what a call is given."""
     fields = enumerate(words, start=1)
     spec = {number: (kind, word, False) for number, (kind, word) in fields}
@@ -41,9 +41,9 @@
     return made
 
 
-def _add_call(name: str, answer: int, words: Words) -> None:
+def _add_call(name: str, answer: int, words: Arguments) -> None:
     """Add a call to the service, by the conventions of the library."""
-    setattr(Fleet, f'{name}_args', _make_words(name, words))
+    setattr(Fleet, f'{name}_args', _make_arguments(name, words))
     setattr(Fleet, f'{name}_result', _make_answer(name, answer))
     Fleet.thrift_services.append(name)
 
--- a/src/dykemast/_internal/network/journal_ledger.py
+++ b/src/dykemast/_internal/network/journal_ledger.py
@@ -93,20 +93,22 @@
         for entry in segment.entries:
             add_entry(self.records, entry)
         self._tail = Tail(_read_number(name))
-        self._note_written(name, segment, stored.version)
+        self._record_written(name, segment, stored.version)
 
     async def _append(self, new_entries: list[Entry]) -> None:
         segment = Segment([*self._tail.entries, *new_entries])
-        if _measure(segment) > SEGMENT_BYTES:
+        if _compute_size_bytes(segment) > SEGMENT_BYTES:
             segment = segment._replace(sealed=True)
         name = '{}/{:08d}'.format(self._name, self._tail.number)
         body = msgspec.json.encode(segment)
         version = await self._platform.write(name, body, self._tail.version)
-        self._note_written(name, segment, version)
+        self._record_written(name, segment, version)
         for entry in new_entries:
             add_entry(self.records, entry)
 
-    def _note_written(self, name: str, segment: Segment, version: int) -> None:
+    def _record_written(
+        self, name: str, segment: Segment, version: int
+    ) -> None:
         number = self._tail.number
         if segment.sealed:
             self._sealed.add(name)
@@ -121,7 +123,7 @@
     return int(name.rsplit('/', 1)[1])
 
 
-def _measure(segment: Segment) -> int:
+def _compute_size_bytes(segment: Segment) -> int:
     return len(msgspec.json.encode(segment))
 
 
--- a/src/dykemast/_internal/network/late_reads.py
+++ b/src/dykemast/_internal/network/late_reads.py
@@ -13,22 +13,22 @@
 async def read_again_if_late(
     read: Callable[[], _Read[_Answer]],
     read_again: Callable[[], _Read[_Answer]],
-    patience: float,
+    delay_s: float,
 ) -> _Answer:
     """Read, and read again beside it when there is no answer for a while.
 
     :param read: reads.
     :param read_again: reads in another way.
-    :param patience: seconds to wait before the other way is tried, too.
+    :param delay_s: seconds to wait before the other way is tried, too.
     :returns: the first answer.
     :raises Exception: as the last one raised, when both failed.
     """
     reads = {asyncio.create_task(read())}
     with _cancelling(reads):
-        over, _ = await asyncio.wait(reads, timeout=patience)
-        if not over:
+        completed, _ = await asyncio.wait(reads, timeout=delay_s)
+        if not completed:
             reads.add(asyncio.create_task(read_again()))
-        return await _take_first(reads)
+        return await _wait_first(reads)
 
 
 @contextlib.contextmanager
@@ -41,13 +41,13 @@
             read.cancel()
 
 
-async def _take_first(reads: _Tasks[_Answer]) -> _Answer:
+async def _wait_first(reads: _Tasks[_Answer]) -> _Answer:
     """Wait for an answer; a failure only counts when there is no other."""
     waiting = reads
     while True:
-        over, waiting = await asyncio.wait(
+        completed, waiting = await asyncio.wait(
             waiting, return_when=asyncio.FIRST_COMPLETED
         )
-        good = [one for one in over if not one.exception()]
-        if good or not waiting:
-            return (good or list(over))[0].result()
+        succeeded = [one for one in completed if not one.exception()]
+        if succeeded or not waiting:
+            return (succeeded or list(completed))[0].result()
--- a/src/dykemast/_internal/network/listener_watch.py
+++ b/src/dykemast/_internal/network/listener_watch.py
@@ -8,7 +8,7 @@
 
 #: Seconds between two looks. Three that fail make the router not ready; the
 #: users' platform and callers ask each second.
-WATCH_PAUSE: Final = 0.5
+CHECK_INTERVAL_S: Final = 0.5
 
 
 async def watch_listeners(listeners: list[Listener]) -> None:
@@ -21,4 +21,4 @@
         for listener in listeners:
             if listener.serving.done() and not listener.should_exit:
                 raise ListenerEndedError('callers cannot connect any more.')
-        await asyncio.sleep(WATCH_PAUSE)
+        await asyncio.sleep(CHECK_INTERVAL_S)
--- a/src/dykemast/_internal/network/listeners.py
+++ b/src/dykemast/_internal/network/listeners.py
@@ -8,10 +8,10 @@
 import uvicorn
 
 #: Seconds after which an idle connection of a caller is closed.
-KEEP_ALIVE: Final = 30
+KEEP_ALIVE_S: Final = 30
 #: Seconds that are waited for a listener to open.
-OPEN_TIMEOUT: Final = 10.0
-_POLL: Final = 0.01
+OPEN_TIMEOUT_S: Final = 10.0
+_POLL_INTERVAL_S: Final = 0.01
 
 
 class Listener(uvicorn.Server):
@@ -77,7 +77,7 @@
         lifespan='off',
         access_log=False,
         log_level='critical',
-        timeout_keep_alive=KEEP_ALIVE,
+        timeout_keep_alive=KEEP_ALIVE_S,
         server_header=False,
         date_header=False,
         proxy_headers=False,
@@ -91,9 +91,9 @@
 ) -> Listener:
     listener = Listener(config)
     listener.serving = asyncio.create_task(listener.serve(sockets))
-    async with asyncio.timeout(OPEN_TIMEOUT):
+    async with asyncio.timeout(OPEN_TIMEOUT_S):
         while not listener.started:
             if listener.serving.done():
                 raise OSError(f'{where} could not be opened.')
-            await asyncio.sleep(_POLL)
+            await asyncio.sleep(_POLL_INTERVAL_S)
     return listener
--- a/src/dykemast/_internal/network/peer_client.py
+++ b/src/dykemast/_internal/network/peer_client.py
@@ -15,7 +15,7 @@
 from dykemast._internal.models.fleet import PeerCard
 
 #: Idle connections kept for each peer at most.
-MAX_IDLE: Final = 4
+MAX_IDLE_CONNECTIONS: Final = 4
 _FAILURES: Final = (TException, OSError, EOFError, asyncio.TimeoutError)
 
 
@@ -32,7 +32,7 @@
         service: Any,
     ) -> None:
         """Open no connection yet."""
-        self._first_words = () if key is None else (key,)
+        self._key_arguments = () if key is None else (key,)
         self._service = service
         self._idle: dict[str, list[Any]] = {}
 
@@ -73,16 +73,16 @@
         method: str,
         words: Sequence[Any],
     ) -> Any:
-        client = await self._take(card)
+        client = await self._acquire(card)
         try:
-            answer = await getattr(client, method)(*self._first_words, *words)
+            answer = await getattr(client, method)(*self._key_arguments, *words)
         except BaseException:
             client.close()
             raise
-        self._give_back(card, client)
+        self._release(card, client)
         return answer
 
-    async def _take(self, card: PeerCard) -> Any:
+    async def _acquire(self, card: PeerCard) -> Any:
         idle = self._idle.setdefault(card.incarnation, [])
         if idle:
             return idle.pop()
@@ -90,9 +90,9 @@
             self._service, card.host, card.peer_port, timeout=None
         )
 
-    def _give_back(self, card: PeerCard, client: Any) -> None:
+    def _release(self, card: PeerCard, client: Any) -> None:
         idle = self._idle.setdefault(card.incarnation, [])
-        if len(idle) < MAX_IDLE:
+        if len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(client)
         else:
             client.close()
--- a/src/dykemast/_internal/network/platform.py
+++ b/src/dykemast/_internal/network/platform.py
@@ -17,7 +17,7 @@
 )
 
 #: Seconds that a watch waits for a change.
-WATCH_TIMEOUT: Final = 20.0
+WATCH_TIMEOUT_S: Final = 20.0
 _OK: Final = 200
 _NOT_FOUND: Final = 404
 _CONFLICT: Final = 409
@@ -126,7 +126,7 @@
         :returns: what changed, possibly nothing.
         """
         path = f'/watch?prefix={quote(prefix)}&mark={mark}'
-        answer = await self._session.call('GET', path, wait=WATCH_TIMEOUT)
+        answer = await self._session.call('GET', path, wait=WATCH_TIMEOUT_S)
         return _decode(answer, Change)
 
 
--- a/src/dykemast/_internal/network/platform_session.py
+++ b/src/dykemast/_internal/network/platform_session.py
@@ -18,7 +18,7 @@
 from dykemast._internal.operations.freshness import LATE_READ_S
 
 #: Seconds to wait for an answer.
-CALL_TIMEOUT: Final = 2.0
+CALL_TIMEOUT_S: Final = 2.0
 _FAILURES: Final = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
@@ -81,17 +81,17 @@
             return self._fetch(method, path, body, wait)
         return read_again_if_late(
             lambda: self._fetch(method, path, body, wait),
-            lambda: self._fetch_anew(path),
+            lambda: self._fetch_over_new_connection(path),
             LATE_READ_S,
         )
 
-    async def _fetch_anew(self, path: str) -> Answer:
+    async def _fetch_over_new_connection(self, path: str) -> Answer:
         if self._fresh is None:
             connector = aiohttp.TCPConnector(
                 socket_factory=make_socket, force_close=True
             )
             self._fresh = aiohttp.ClientSession(connector=connector)
-        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT - LATE_READ_S)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S - LATE_READ_S)
         call = self._fresh.get(self._base + path, timeout=timeout)
         async with call as response:
             return Answer(response.status, await response.read())
@@ -107,7 +107,7 @@
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(socket_factory=make_socket)
             )
-        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT + wait)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S + wait)
         call = self._session.request(
             method, self._base + path, data=body or None, timeout=timeout
         )
--- a/src/dykemast/_internal/network/revision_store.py
+++ b/src/dykemast/_internal/network/revision_store.py
@@ -26,9 +26,9 @@
 #: Start of the names of revisions.
 REVISIONS: Final = 'configuration/revisions/'
 #: Submissions that the head remembers.
-REMEMBERED: Final = 32
+MAX_REMEMBERED_SUBMISSIONS: Final = 32
 #: Times that a submission is tried when answers are lost.
-MAX_TRIES: Final = 4
+MAX_ATTEMPTS: Final = 4
 
 
 class RevisionStore:
@@ -86,7 +86,7 @@
         :raises StaleRevisionError: when another one came in between.
         :raises PlatformError: when the platform is away.
         """
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 return await self._try_submit(configuration, base, submission)
             except (VersionConflictError, PlatformUnavailableError) as error:
@@ -109,7 +109,7 @@
         name = await self._write_revision(
             Revision(base + 1, submission, configuration)
         )
-        known = (*head.submissions, submission)[-REMEMBERED:]
+        known = (*head.submissions, submission)[-MAX_REMEMBERED_SUBMISSIONS:]
         body = msgspec.json.encode(Head(base + 1, name, known))
         await self._platform.write(HEAD, body, stored.version)
         return base + 1
--- a/src/dykemast/_internal/network/sockets.py
+++ b/src/dykemast/_internal/network/sockets.py
@@ -5,18 +5,18 @@
 
 #: Milliseconds that sent bytes may stay unconfirmed. Users' links confirm in
 #: some milliseconds, and lost packets are repeated within a second.
-USER_TIMEOUT: Final = 3000
+USER_TIMEOUT_MS: Final = 3000
 #: Seconds of silence before a probe, between probes, and probes in vain.
-PROBE_IDLE: Final = 1
-PROBE_PAUSE: Final = 1
+PROBE_IDLE_S: Final = 1
+PROBE_INTERVAL_S: Final = 1
 PROBE_COUNT: Final = 2
 
 
 _OPTIONS: Final = (
-    (socket.TCP_KEEPIDLE, PROBE_IDLE),
-    (socket.TCP_KEEPINTVL, PROBE_PAUSE),
+    (socket.TCP_KEEPIDLE, PROBE_IDLE_S),
+    (socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
     (socket.TCP_KEEPCNT, PROBE_COUNT),
-    (socket.TCP_USER_TIMEOUT, USER_TIMEOUT),
+    (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     (socket.TCP_NODELAY, 1),
 )
 
--- a/src/dykemast/_internal/platform/answer_headers.py
+++ b/src/dykemast/_internal/platform/answer_headers.py
@@ -14,13 +14,13 @@
 _ERRORS: Final = 'surrogateescape'
 #: Answer of a server that is not the one that was meant.
 _MISDIRECTED: Final = 421
-_SAYS_SO: Final = '1'
+_LEAVING_VALUE: Final = '1'
 #: Requests a second that a server gets at least: only its next answer can end
 #: a limit, also one of zero.
-MIN_LIMIT: Final = 0.1
+MIN_LIMIT_PER_S: Final = 0.1
 #: Seconds of rest that an answer may ask for: a server that asked for more
 #: would get nothing for ever.
-MAX_REST: Final = 600.0
+MAX_BACKOFF_S: Final = 600.0
 
 
 def decode_answer(status: int, fields: Any) -> ResponseHead:
@@ -43,7 +43,7 @@
         misdirected=status == _MISDIRECTED,
         headers=headers,
         delimited='content-length' in fields or 'transfer-encoding' in fields,
-        backpressure=_decode_asks(status, fields),
+        backpressure=_decode_backpressure(status, fields),
     )
 
 
@@ -51,15 +51,15 @@
     return text.encode(_ENCODING, _ERRORS)
 
 
-def _decode_asks(status: int, fields: Any) -> Backpressure:
+def _decode_backpressure(status: int, fields: Any) -> Backpressure:
     limit = _read_number(fields.get(names.LIMIT))
     rest = None
     if status == HTTPStatus.SERVICE_UNAVAILABLE:
         rest = _read_number(fields.get(names.RETRY_AFTER))
     return Backpressure(
-        limit=None if limit is None else max(MIN_LIMIT, limit),
-        leaving=fields.get(names.LEAVING, '').strip() == _SAYS_SO,
-        rest=min(MAX_REST, rest or 0),
+        limit=None if limit is None else max(MIN_LIMIT_PER_S, limit),
+        leaving=fields.get(names.LEAVING, '').strip() == _LEAVING_VALUE,
+        rest=min(MAX_BACKOFF_S, rest or 0),
     )
 
 
--- a/src/dykemast/_internal/platform/caller_paths.py
+++ b/src/dykemast/_internal/platform/caller_paths.py
@@ -4,7 +4,7 @@
 
 from dykemast._internal.platform import names
 
-_DOTS: Final = frozenset(('.', '..'))
+_DOT_SEGMENTS: Final = frozenset(('.', '..'))
 
 
 def check_path(path: str) -> None:
@@ -15,7 +15,7 @@
     :param path: the path, decoded.
     :raises ValueError: when it has such segments.
     """
-    if not _DOTS.isdisjoint(path.split('/')):
+    if not _DOT_SEGMENTS.isdisjoint(path.split('/')):
         raise ValueError('the path has segments of dots')
 
 
--- a/src/dykemast/_internal/platform/capacity.py
+++ b/src/dykemast/_internal/platform/capacity.py
@@ -6,7 +6,7 @@
 from dykemast._internal.models.deployment import Capacity
 from dykemast._internal.platform.settings_reader import SettingsReader
 
-_BITS: Final = 1_000_000
+_BITS_PER_MEGABIT: Final = 1_000_000
 _BITS_PER_BYTE: Final = 8
 
 
@@ -25,5 +25,5 @@
     megabits = reader.read_or('limits.linkMbps', float, math.inf)
     return Capacity(
         cores=(quota * (speed or 1)) or math.inf,
-        link=(megabits * _BITS / _BITS_PER_BYTE) or math.inf,
+        link=(megabits * _BITS_PER_MEGABIT / _BITS_PER_BYTE) or math.inf,
     )
--- a/src/dykemast/_internal/platform/configuration.py
+++ b/src/dykemast/_internal/platform/configuration.py
@@ -9,7 +9,10 @@
     hash_key,
 )
 from dykemast._internal.models.services import Engine, RequestLimits, Service
-from dykemast._internal.platform.routes import decode_homes, decode_routes
+from dykemast._internal.platform.routes import (
+    decode_allowed_regions,
+    decode_routes,
+)
 from dykemast._internal.platform.store_types import StoreObject
 
 #: Kind and name of the object.
@@ -18,7 +21,7 @@
 _MS: Final = 1000.0
 
 #: What a document of other fields or types than expected raises.
-_MISFITS: Final = (
+_SCHEMA_ERRORS: Final = (
     AttributeError,
     KeyError,
     OverflowError,
@@ -38,7 +41,7 @@
     """
     try:
         return _decode(stored)
-    except _MISFITS as error:
+    except _SCHEMA_ERRORS as error:
         text = f'{type(error).__name__}: {error}'
         raise InvalidDataError(text) from error
 
@@ -68,7 +71,7 @@
             one['name'],
             one.get('priority'),
             one.get('prepaid'),
-            decode_homes(one),
+            decode_allowed_regions(one),
         )
         for one in listed
     }
--- a/src/dykemast/_internal/platform/json_members.py
+++ b/src/dykemast/_internal/platform/json_members.py
@@ -8,7 +8,7 @@
 
 #: What reading raises. Nesting beyond the interpreter's limit is no error of
 #: JSON, and has to cost no more than one.
-UNREADABLE: Final = (msgspec.MsgspecError, RecursionError)
+DECODE_ERRORS: Final = (msgspec.MsgspecError, RecursionError)
 #: A whole string, or a mark that structures a document.
 _TOKEN: Final = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[\]{},]', re.DOTALL)
 _OPENING: Final = (b'[', b'{')
@@ -65,6 +65,6 @@
 def _blank_member(raw: bytes) -> bytes:
     try:
         msgspec.json.decode(raw)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return b'null'
     return raw
--- a/src/dykemast/_internal/platform/objects.py
+++ b/src/dykemast/_internal/platform/objects.py
@@ -14,7 +14,7 @@
 )
 
 #: Seconds that a watch may be held back; the platform allows 30.
-WATCH_TIMEOUT: Final = 25.0
+WATCH_TIMEOUT_S: Final = 25.0
 _MS: Final = 1000
 
 
@@ -102,9 +102,9 @@
         :raises HistoryLostError: when the kind has to be listed again.
         :raises PlatformError: when it failed otherwise.
         """
-        wait = int(WATCH_TIMEOUT * _MS)
+        wait = int(WATCH_TIMEOUT_S * _MS)
         path = f'/objects/{kind}?watch={revision}&waitMs={wait}'
-        answer = await self._call('GET', path, wait=WATCH_TIMEOUT)
+        answer = await self._call('GET', path, wait=WATCH_TIMEOUT_S)
         if answer.status == store_codec.GONE:
             raise HistoryLostError(f'history of {kind} is gone.')
         return store_pages.decode_changes(answer)
--- a/src/dykemast/_internal/platform/prompt_headers.py
+++ b/src/dykemast/_internal/platform/prompt_headers.py
@@ -18,7 +18,7 @@
     output: int
 
 
-def decode_patience(text: str | None) -> float | None:
+def decode_timeout(text: str | None) -> float | None:
     """Decode how long a caller will wait.
 
     :param text: milliseconds; None when the field is missing.
--- a/src/dykemast/_internal/platform/request_headers.py
+++ b/src/dykemast/_internal/platform/request_headers.py
@@ -7,12 +7,12 @@
 from dykemast._internal.platform import names
 from dykemast._internal.platform.caller_fields import (
     Fields,
-    check_declared,
-    choose_passed_on,
+    check_duplicates,
+    choose_forwarded,
 )
 from dykemast._internal.platform.caller_paths import check_path
 from dykemast._internal.platform.prompt_headers import (
-    decode_patience,
+    decode_timeout,
     decode_prompt,
     decode_tokens,
 )
@@ -45,7 +45,7 @@
         (name.decode(_ENCODING).lower(), _decode_text(text))
         for name, text in scope['headers']
     ]
-    check_declared(pairs)
+    check_duplicates(pairs)
     check_path(scope['path'])
     fields = dict(pairs)
     tokens = decode_tokens(fields.get(names.TOKENS))
@@ -56,8 +56,8 @@
         path=scope['path'],
         target=_decode_target(scope),
         key=_decode_key(fields.get(names.AUTHORIZATION, '')),
-        timeout_s=decode_patience(fields.get(names.DEADLINE)),
-        headers=choose_passed_on(pairs),
+        timeout_s=decode_timeout(fields.get(names.DEADLINE)),
+        headers=choose_forwarded(pairs),
         prompt_tokens=tokens.prompt,
         output_tokens=tokens.output,
         prompt=decode_prompt(fields.get(names.PROMPT)),
--- a/src/dykemast/_internal/platform/routes.py
+++ b/src/dykemast/_internal/platform/routes.py
@@ -46,11 +46,11 @@
         max_workers=int(fields.get('attempts', 1)),
         public=bool(fields.get('public')),
         resumable=bool(fields.get('resumable')),
-        allowed_regions=decode_homes(fields),
+        allowed_regions=decode_allowed_regions(fields),
     )
 
 
-def decode_homes(fields: Document) -> frozenset[str] | None:
+def decode_allowed_regions(fields: Document) -> frozenset[str] | None:
     """Decode where the requests of a route or workspace have to stay.
 
     :param fields: of the route or workspace.
--- a/src/dykemast/_internal/platform/servers.py
+++ b/src/dykemast/_internal/platform/servers.py
@@ -23,16 +23,16 @@
 #: Ids go into a header field of each send, so they are visible characters.
 _ID: Final = re.compile('[!-~]{1,200}')
 #: Characters of a name, and of an address; far more than users give.
-_MAX_WORD: Final = 200
+_MAX_TEXT_CHARS: Final = 200
 _READY: Final = 'ready'
 _MS: Final = 1000.0
 #: Milliseconds for which the server is still cold.
 _COLD_LEFT: Final = 'coldLeftMs'
 #: Seconds for which an entry may claim that its server is cold: one that
 #: claims more would get a trickle for ever.
-MAX_COLD: Final = 600.0
+MAX_COLD_S: Final = 600.0
 
-_Word = Annotated[str, msgspec.Meta(min_length=1, max_length=_MAX_WORD)]
+_Text = Annotated[str, msgspec.Meta(min_length=1, max_length=_MAX_TEXT_CHARS)]
 _Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 _Milliseconds = Annotated[float, msgspec.Meta(ge=0, le=MAX_COUNT)]
 
@@ -40,9 +40,9 @@
 class _Fields(TypedDict):
     """What an entry has to hold, and what may be in it besides."""
 
-    service: _Word
-    address: _Word
-    zone: _Word
+    service: _Text
+    address: _Text
+    zone: _Text
     slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     state: Literal['ready', 'draining']
     sequence: NotRequired[_Count]
@@ -80,5 +80,5 @@
     )
 
 
-def _decode_cold(told: Any) -> float:
-    return min(MAX_COLD, msgspec.convert(told, _Milliseconds) / _MS)
+def _decode_cold(milliseconds: Any) -> float:
+    return min(MAX_COLD_S, msgspec.convert(milliseconds, _Milliseconds) / _MS)
--- a/src/dykemast/_internal/platform/settings.py
+++ b/src/dykemast/_internal/platform/settings.py
@@ -23,7 +23,7 @@
 #: Descriptors that the platform keeps back for files.
 _FILE_DESCRIPTORS: Final = 200
 #: Seconds promised where the settings do not say: the shortest of the users.
-DEFAULT_PROMISE: Final = 2.0
+DEFAULT_BOUND_S: Final = 2.0
 _MS: Final = 1000
 
 
@@ -95,10 +95,10 @@
         retry_window=reader.read('bounds.budgetWindowS', float),
         max_entry_ttl=reader.read('bounds.ttl_max_s', float),
         change_time=reader.read_or(
-            'bounds.configApplyMs', _decode_ms, DEFAULT_PROMISE
+            'bounds.configApplyMs', _decode_ms, DEFAULT_BOUND_S
         ),
         leave_time=reader.read_or(
-            'bounds.drainMs', _decode_ms, DEFAULT_PROMISE
+            'bounds.drainMs', _decode_ms, DEFAULT_BOUND_S
         ),
         evacuate_time=reader.read_or('bounds.evacuateMs', _decode_ms, None),
     )
--- a/src/dykemast/_internal/platform/store_items.py
+++ b/src/dykemast/_internal/platform/store_items.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from dykemast._internal.platform.json_members import UNREADABLE
+from dykemast._internal.platform.json_members import DECODE_ERRORS
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.utils.events import make_logger
 
@@ -51,7 +51,7 @@
     """
     try:
         envelope = msgspec.json.decode(raw, type=_Envelope)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
     metadata = envelope.metadata
     spec = _decode_spec(envelope.spec)
@@ -61,5 +61,5 @@
 def _decode_spec(raw: msgspec.Raw) -> Any:
     try:
         return msgspec.json.decode(raw)
-    except UNREADABLE:
+    except DECODE_ERRORS:
         return None
--- a/src/dykemast/_internal/platform/store_pages.py
+++ b/src/dykemast/_internal/platform/store_pages.py
@@ -7,7 +7,7 @@
 from dykemast._internal.exceptions import HistoryLostError, PlatformError
 from dykemast._internal.network.platform_session import Answer
 from dykemast._internal.platform.json_members import (
-    UNREADABLE,
+    DECODE_ERRORS,
     blank_unreadable,
 )
 from dykemast._internal.platform.store_codec import check_done
@@ -70,7 +70,7 @@
 def _decode_event(raw: bytes) -> Event:
     try:
         event = msgspec.json.decode(raw, type=_Event)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise HistoryLostError(f'a change is not readable: {error}') from error
     changed = decode_item(event.changed)
     if changed is None:
@@ -81,14 +81,14 @@
 def _decode_as(body: bytes, kind: type[_Document]) -> _Document:
     try:
         return msgspec.json.decode(body, type=kind)
-    except UNREADABLE:
-        return _decode_rest(body, kind)
+    except DECODE_ERRORS:
+        return _decode_repaired(body, kind)
 
 
-def _decode_rest(body: bytes, kind: type[_Document]) -> _Document:
+def _decode_repaired(body: bytes, kind: type[_Document]) -> _Document:
     """Read a document in which an item is no JSON at all."""
     try:
         return msgspec.json.decode(blank_unreadable(body), type=kind)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         text = f'the store sent something else: {error}'
         raise PlatformError(text) from error
--- a/tests/unit/test_backpressure.py
+++ b/tests/unit/test_backpressure.py
@@ -5,8 +5,8 @@
 
 from dykemast._internal.models.backend import Backpressure
 from dykemast._internal.platform.answer_headers import (
-    MAX_REST,
-    MIN_LIMIT,
+    MAX_BACKOFF_S,
+    MIN_LIMIT_PER_S,
     decode_answer,
 )
 
@@ -43,11 +43,11 @@
 
 
 def test_a_limit_of_zero_still_lets_its_end_be_heard() -> None:
-    assert read_asks(OK, **{LIMIT: '0'}).limit == MIN_LIMIT
+    assert read_asks(OK, **{LIMIT: '0'}).limit == MIN_LIMIT_PER_S
 
 
 def test_no_server_is_left_alone_for_ever() -> None:
-    assert read_asks(UNAVAILABLE, **{REST: '1e9'}).rest == MAX_REST
+    assert read_asks(UNAVAILABLE, **{REST: '1e9'}).rest == MAX_BACKOFF_S
 
 
 def test_what_makes_no_sense_asks_for_nothing() -> None:
@@ -60,5 +60,5 @@
 def test_no_text_makes_an_answer_unreadable(text) -> None:
     fields = {LIMIT: text, REST: text, LEAVING: text}
     backpressure = read_asks(UNAVAILABLE, **fields)
-    assert backpressure.limit is None or backpressure.limit >= MIN_LIMIT
-    assert 0 <= backpressure.rest <= MAX_REST
+    assert backpressure.limit is None or backpressure.limit >= MIN_LIMIT_PER_S
+    assert 0 <= backpressure.rest <= MAX_BACKOFF_S
--- a/tools/serving_mutations.py
+++ b/tools/serving_mutations.py
@@ -68,7 +68,7 @@
         'let a caller steer an engine',
         'only routers speak for routers',
         f'{_INTERNAL}/platform/caller_fields.py',
-        "or f'{read_as}-'.startswith(_FAMILIES)",
+        "or f'{read_as}-'.startswith(_CONTROL_PREFIXES)",
         '',
         'test_a_routers_own_words',
     ),
