--- a/src/dykemast/_internal/platform/__init__.py
+++ b/src/dykemast/_internal/platform/__init__.py
@@ -1,6 +1,5 @@
-"""Translation between the product and the users' platform, and no more.
+"""Translation between the platform's formats and this project's types.
 
-Names of the platform's settings, objects and headers stand only here. Each
-module decodes them once into types of ``models`` whose fields say what they
-hold.
+This is the only package that uses the platform's names of settings, objects
+and header fields. Each module decodes them into types of ``models``.
 """
--- a/src/dykemast/_internal/platform/answer_headers.py
+++ b/src/dykemast/_internal/platform/answer_headers.py
@@ -1,4 +1,4 @@
-"""Header fields of backend servers' answers."""
+"""Decoding of the response headers of backend servers."""
 
 import math
 from http import HTTPStatus
@@ -9,26 +9,26 @@
 from dykemast._internal.platform import names
 from dykemast._internal.utils.hop_by_hop_headers import HOP_BY_HOP_HEADERS
 
-#: How the client library decodes fields; bytes that are no UTF-8 survive it.
+#: Encoding of the HTTP client; it preserves bytes that are not UTF-8.
 _ENCODING: Final = 'utf-8'
 _ERRORS: Final = 'surrogateescape'
-#: Answer of a server that is not the one that was meant.
+#: Status of a server that is not the intended one.
 _MISDIRECTED: Final = 421
 _LEAVING_VALUE: Final = '1'
-#: Requests a second that a server gets at least: only its next answer can end
-#: a limit, also one of zero.
+#: Lowest request rate per server. Only a later response can lift a limit, so a
+#: limit of zero would never end.
 MIN_LIMIT_PER_S: Final = 0.1
-#: Seconds of rest that an answer may ask for: a server that asked for more
-#: would get nothing for ever.
+#: Longest backoff that a response may request; an unbounded one could exclude
+#: the server forever.
 MAX_BACKOFF_S: Final = 600.0
 
 
 def decode_answer(status: int, fields: Any) -> ResponseHead:
-    """Decode the head of a backend server's answer.
+    """Decode the head of a backend server's response.
 
     :param status: HTTP status.
-    :param fields: its header fields.
-    :returns: the head.
+    :param fields: header fields of the response.
+    :returns: the response head.
     """
     headers = [
         (_encode(name.lower()), _encode(text))
@@ -52,10 +52,10 @@
 
 
 def _decode_backpressure(status: int, fields: Any) -> Backpressure:
-    limit = _read_number(fields.get(names.LIMIT))
+    limit = _parse_number(fields.get(names.LIMIT))
     rest = None
     if status == HTTPStatus.SERVICE_UNAVAILABLE:
-        rest = _read_number(fields.get(names.RETRY_AFTER))
+        rest = _parse_number(fields.get(names.RETRY_AFTER))
     return Backpressure(
         limit=None if limit is None else max(MIN_LIMIT_PER_S, limit),
         leaving=fields.get(names.LEAVING, '').strip() == _LEAVING_VALUE,
@@ -63,8 +63,8 @@
     )
 
 
-def _read_number(text: str | None) -> float | None:
-    """Read a number from 0 on; None for any other text, and for none."""
+def _parse_number(text: str | None) -> float | None:
+    """Parse a finite number >= 0; return None for anything else."""
     try:
         number = float(text or '')
     except ValueError:
--- a/src/dykemast/_internal/platform/caller_paths.py
+++ b/src/dykemast/_internal/platform/caller_paths.py
@@ -1,4 +1,4 @@
-"""Which paths a caller may ask for."""
+"""Checks of the paths that callers request."""
 
 from typing import Final
 
@@ -8,19 +8,19 @@
 
 
 def check_path(path: str) -> None:
-    """Check that a path means the same to every server.
+    """Check that all servers interpret a path in the same way.
 
-    Some servers resolve segments of dots; a request would leave its route.
+    Some servers resolve dot segments, so that a request would leave its route.
 
     :param path: the path, decoded.
-    :raises ValueError: when it has such segments.
+    :raises ValueError: when the path has dot segments.
     """
     if not _DOT_SEGMENTS.isdisjoint(path.split('/')):
-        raise ValueError('the path has segments of dots')
+        raise ValueError('the path contains dot segments')
 
 
 def is_engine_call(path: str) -> bool:
-    """Tell whether a path is a call of engines that only routers make.
+    """Tell whether a path is an engine call that only routers may make.
 
     :param path: the path, decoded.
     :returns: whether it is.
--- a/src/dykemast/_internal/platform/capacity.py
+++ b/src/dykemast/_internal/platform/capacity.py
@@ -1,4 +1,4 @@
-"""What the settings say of an instance's processor and link."""
+"""Processor and network capacity from the settings."""
 
 import math
 from typing import Final
@@ -11,15 +11,15 @@
 
 
 def decode_capacity(reader: SettingsReader) -> Capacity:
-    """Decode what the instance gives a process.
+    """Decode the capacity that the instance grants to a process.
 
-    What the settings do not say, or give as 0, counts as without bound.
+    A limit that is missing or 0 means unlimited.
 
-    :param reader: reads the settings, and collects findings.
-    :returns: the capacity.
+    :param reader: reader of the settings; collects findings.
+    :returns: cores, and bytes per second of the link.
     """
-    # The quota is a share of one core, which runs so many times as fast as
-    # a common one; "cores" doesn't count processors.
+    # The quota is a share of one core. "cores" is the speed of that core
+    # relative to a reference core, not a number of processors.
     quota = reader.read_or('limits.cpuQuota', float, math.inf)
     speed = reader.read_or('limits.cores', float, 1)
     megabits = reader.read_or('limits.linkMbps', float, math.inf)
--- a/src/dykemast/_internal/platform/configuration.py
+++ b/src/dykemast/_internal/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration object, decoded into a routing table."""
+"""Decoding of the configuration object into a routing table."""
 
 from typing import Any, Final
 
@@ -20,7 +20,7 @@
 CONFIGURATION_NAME: Final = 'main'
 _MS: Final = 1000.0
 
-#: What a document of other fields or types than expected raises.
+#: Errors raised by a document with missing fields or unexpected types.
 _SCHEMA_ERRORS: Final = (
     AttributeError,
     KeyError,
@@ -35,9 +35,9 @@
 def decode_configuration(stored: StoreObject) -> RoutingTable:
     """Decode the configuration.
 
-    :param stored: the object.
+    :param stored: the configuration object.
     :returns: the routing table.
-    :raises NotUsableError: when it makes no sense.
+    :raises InvalidDataError: when a field is missing or invalid.
     """
     try:
         return _decode(stored)
@@ -65,7 +65,7 @@
 def _decode_workspaces(
     listed: list[Document],
 ) -> tuple[dict[str, Workspace], dict[bytes, str]]:
-    # Tenants are this project's workspaces.
+    # The platform calls workspaces "tenants".
     workspaces = {
         one['name']: Workspace(
             one['name'],
@@ -96,7 +96,7 @@
     return Engine(
         slots=int(fields['slots']),
         cache_tokens=int(fields['kvCapacity']),
-        # The stride is the number of tokens in one event.
+        # "stride" is the number of tokens per event.
         tokens_per_event=int(fields.get('stride', 1)),
     )
 
--- a/src/dykemast/_internal/platform/endpoints.py
+++ b/src/dykemast/_internal/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""Addresses in the platform's texts."""
+"""Decoding of addresses in the platform's formats."""
 
 import ipaddress
 import re
@@ -15,7 +15,7 @@
 
     :param text: the address.
     :returns: the endpoint.
-    :raises ValueError: when it is none.
+    :raises ValueError: when the text is not a valid address and port.
     """
     host, _, digits = text.rpartition(':')
     ipaddress.IPv4Address(host)
--- a/src/dykemast/_internal/platform/entry_messages.py
+++ b/src/dykemast/_internal/platform/entry_messages.py
@@ -1,4 +1,4 @@
-"""Questions of callers where to go, and their answers."""
+"""Queries of callers for router addresses, and their responses."""
 
 from typing import Any, NamedTuple
 from urllib.parse import parse_qs
@@ -9,10 +9,10 @@
 
 
 class EntryQuestion(NamedTuple):
-    """What a caller asks addresses for.
+    """Query of a caller for router addresses.
 
-    :param host: host name; empty when there is none.
-    :param region: of the caller; empty when it does not say.
+    :param host: requested host name; empty when not given.
+    :param region: region of the caller; empty when not given.
     """
 
     host: str
@@ -20,10 +20,10 @@
 
 
 def decode_entry_question(scope: Any) -> EntryQuestion:
-    """Decode what a caller asks addresses for.
+    """Decode a query for router addresses.
 
     :param scope: ASGI scope.
-    :returns: the question.
+    :returns: the decoded query.
     """
     query = parse_qs(scope['query_string'].decode('latin-1'))
     host = query.get('name', [''])[0]
@@ -31,10 +31,10 @@
 
 
 def encode_entry(addresses: list[Endpoint], ttl: float) -> bytes:
-    """Make the answer that tells callers which addresses to use.
+    """Encode the response that lists router addresses.
 
-    :param addresses: the addresses.
-    :param ttl: seconds for which the answer may be kept.
+    :param addresses: addresses that the caller may use.
+    :param ttl: seconds for which the caller may cache the response.
     :returns: the JSON document.
     """
     texts = [str(address) for address in addresses]
--- a/src/dykemast/_internal/platform/json_members.py
+++ b/src/dykemast/_internal/platform/json_members.py
@@ -1,4 +1,4 @@
-"""Members of a JSON document, told apart before any is read."""
+"""Splitting of JSON documents into members without decoding them."""
 
 import itertools
 import re
@@ -6,23 +6,23 @@
 
 import msgspec
 
-#: What reading raises. Nesting beyond the interpreter's limit is no error of
-#: JSON, and has to cost no more than one.
+#: Errors of decoding. Nesting beyond the interpreter's recursion limit raises
+#: no JSON error, but is handled like one.
 DECODE_ERRORS: Final = (msgspec.MsgspecError, RecursionError)
-#: A whole string, or a mark that structures a document.
+#: A complete string, or a structural character.
 _TOKEN: Final = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[\]{},]', re.DOTALL)
 _OPENING: Final = (b'[', b'{')
 _CLOSING: Final = (b']', b'}')
 
 
 def split_members(body: bytes) -> list[bytes]:
-    """Split an object or an array into its members, unread.
+    """Split an object or an array into its undecoded members.
 
-    Only strings and brackets are looked at, so that a member may be anything
-    that has an end: also what no JSON reader takes, nested however deep.
+    Only strings, brackets and commas are scanned, so members may be invalid
+    JSON or nested to any depth.
 
     :param body: the document.
-    :returns: its members as they came; of an object, each with its key.
+    :returns: the raw members; those of an object include their keys.
     """
     members = [
         body[comma + 1 : end].strip()
@@ -32,7 +32,7 @@
 
 
 def _find_ends(body: bytes) -> list[int]:
-    """Find the bracket around all, and the commas between members."""
+    """Find the offsets of the outer brackets and of top-level commas."""
     ends: list[int] = []
     depth = 0
     for token in _TOKEN.finditer(body):
@@ -45,10 +45,11 @@
 
 
 def blank_unreadable(body: bytes) -> bytes:
-    """Put ``null`` for each member that no JSON reader takes.
+    """Replace each member that cannot be decoded by ``null``.
 
-    :param body: an object; its fields that are arrays are mended within.
-    :returns: the same with all that can be read.
+    :param body: a JSON object; in fields that are arrays, single elements are
+        replaced.
+    :returns: the object with all members that can be decoded.
     """
     fields = map(_blank_field, split_members(body))
     return b'{%b}' % b','.join(fields)
--- a/src/dykemast/_internal/platform/member_cards.py
+++ b/src/dykemast/_internal/platform/member_cards.py
@@ -1,4 +1,4 @@
-"""Entries of routers in the store."""
+"""Decoding of the store entries of routers."""
 
 import msgspec
 
@@ -13,14 +13,17 @@
 
     :param stored: the object; its name is the router's instance.
     :returns: the card.
-    :raises NotUsableError: when it names no router.
+    :raises InvalidDataError: when the entry does not describe this router.
     """
     try:
         card = _decode(stored)
     except ValueError as error:
-        raise InvalidDataError(f'no router: {error}') from error
+        raise InvalidDataError(
+            f'invalid router entry {stored.name}: {error}'
+        ) from error
     if card.instance != stored.name:
-        raise InvalidDataError(f'it tells of {card.instance}.')
+        text = f'entry {stored.name} describes instance {card.instance}.'
+        raise InvalidDataError(text)
     return card
 
 
--- a/src/dykemast/_internal/platform/names.py
+++ b/src/dykemast/_internal/platform/names.py
@@ -1,47 +1,47 @@
-"""Names of header fields, with what each holds."""
+"""Names and contents of header fields."""
 
 from typing import Final
 
-#: Id of a caller's attempt; a repeat by the caller has another one.
+#: Id of a caller's attempt; each retry by the caller has a new one.
 ATTEMPT_ID: Final = 'x-attempt-id'
-#: Milliseconds that are left.
+#: Milliseconds until the deadline.
 DEADLINE: Final = 'x-deadline-ms'
 #: ``Token KEY``: the caller's key.
 AUTHORIZATION: Final = 'authorization'
 KEY_SCHEME: Final = 'token '
-#: Name of the workspace that spends.
+#: Name of the workspace that is billed.
 WORKSPACE: Final = 'x-tenant'
-#: Id of the backend server that is meant.
+#: Id of the intended backend server.
 EXPECTED_SERVER: Final = 'x-expect-instance'
-#: Urgency for an engine, 0 to 9, 0 first.
+#: Priority for an engine, 0 (highest) to 9.
 PRIORITY: Final = 'x-request-priority'
-#: Last event that is there already; a stream goes on after it.
+#: Last event that was received; a resumed stream continues after it.
 LAST_EVENT: Final = 'last-event-id'
-#: ``PROMPT,OUTPUT``: tokens of the prompt and most tokens to come out; a
-#: declaration, not a report.
+#: ``PROMPT,OUTPUT``: prompt tokens and maximum output tokens, as declared by
+#: the caller; not the actual usage.
 TOKENS: Final = 'x-token-usage'
-#: ``KEY:TOKENS,...``: parts of the prompt in order; no hash of the whole.
+#: ``KEY:TOKENS,...``: parts of the prompt in order; not a hash of the prompt.
 PROMPT: Final = 'x-prefix-hash'
-#: Name of the model that is asked.
+#: Name of the requested model.
 MODEL: Final = 'x-model'
-#: The caller's guess of how many tokens come out.
+#: The caller's estimate of the number of output tokens.
 LENGTH_HINT: Final = 'x-length-hint'
-#: Milliseconds for which an engine may hold a call of a router.
+#: Milliseconds for which an engine may delay its response to a router.
 WAIT: Final = 'wait-ms'
-#: Signature of the backend server that answered.
+#: Signature of the backend server that responded.
 SIGNATURE: Final = 'x-response-seal'
-#: Says that the backend server did not run the request.
+#: Present when the backend server did not run the request.
 NOT_RUN: Final = 'x-not-executed'
-#: Requests a second, a decimal number, that the backend server that answered
-#: takes from all routers together, for as long as its answers say so.
+#: Requests per second, a decimal number, that the backend server accepts from
+#: all routers together; valid as long as its responses carry it.
 LIMIT: Final = 'server-limit'
-#: ``1``: the backend server that answered is about to end.
+#: ``1``: the backend server is about to shut down.
 LEAVING: Final = 'server-leaving'
-#: Seconds, fractions too; in a 503 of a backend server the time for which it
-#: wants nothing from this router.
+#: Seconds, possibly fractional; in a 503 response of a backend server the
+#: backoff that it requests from this router.
 RETRY_AFTER: Final = 'retry-after'
 
-#: First segments of the calls by which routers steer engines.
+#: First path segments of the calls by which routers control engines.
 ENGINE_CALLS: Final = frozenset(
     (
         'hold-drop',
@@ -54,8 +54,8 @@
         'report',
     )
 )
-#: Fields that only a router says to a backend server; what a caller says
-#: there is for the router.
+#: Fields that only routers send to backend servers. When a caller sets one, it
+#: is meant for the router and not forwarded.
 OWN_FIELDS: Final = frozenset(
     (
         'host',
@@ -68,7 +68,7 @@
         WORKSPACE,
     )
 )
-#: Fields by which a caller may mean something to a backend server.
+#: Fields of a caller that backend servers interpret.
 CALLER_FIELDS: Final = frozenset(
     (
         ATTEMPT_ID,
@@ -78,9 +78,9 @@
         TOKENS,
     )
 )
-#: First words of the fields that steer backend servers: what an engine
-#: keeps, moves, sets aside, admits first or insists on. Whole families, so
-#: that one which this router does not know is no caller's either.
+#: Prefixes of the fields that control backend servers: caching, transfer,
+#: reservation, priority and preconditions. Prefixes also exclude control fields
+#: that this router does not know.
 CONTROL_FAMILIES: Final = (
     'kv',
     'x-deadline',
--- a/src/dykemast/_internal/platform/objects.py
+++ b/src/dykemast/_internal/platform/objects.py
@@ -13,36 +13,37 @@
     StoreObject,
 )
 
-#: Seconds that a watch may be held back; the platform allows 30.
+#: Time that the store may hold a watch open; the platform allows 30 s.
 WATCH_TIMEOUT_S: Final = 25.0
 _MS: Final = 1000
 
 
 class ObjectStore:
-    """Calls of the object store.
+    """Client for the object store.
 
-    :param session: transport to it.
+    :param session: HTTP transport to the store.
     """
 
     def __init__(self, session: PlatformSession) -> None:
-        """Keep the transport and count nothing yet."""
+        """Initialize the client with zero call counts."""
         self._session = session
-        #: Calls made so far, by method; those that wait count as ``WATCH``.
+        #: Number of calls by method; watches count as ``WATCH``.
         self.calls: dict[str, int] = {}
 
     async def list_kind(self, kind: str) -> Listing:
-        """Read all objects of a kind, page by page.
+        """List all objects of a kind, page by page.
 
-        :param kind: the kind.
-        :returns: the objects, and a revision not newer than any of them.
-        :raises PlatformError: when it failed.
+        :param kind: kind of the objects.
+        :returns: the objects, and a store revision that is not newer than any
+            page.
+        :raises PlatformError: when the call fails.
         """
         path = f'/objects/{kind}'
         page = store_pages.decode_page(await self._call('GET', path))
         listing = page.listing
         while page.more:
             last = _find_last(page)
-            # This field takes the name to continue after, not a revision.
+            # "afterRevision" takes an object name, not a revision.
             answer = await self._call('GET', f'{path}?afterRevision={last}')
             page = store_pages.decode_page(answer)
             listing.found.extend(page.listing.found)
@@ -51,10 +52,10 @@
     async def read(self, kind: str, name: str) -> StoreObject:
         """Read an object.
 
-        :param kind: its kind.
-        :param name: its name.
-        :returns: the object; revision 0 when there is none.
-        :raises PlatformError: when it failed.
+        :param kind: kind of the object.
+        :param name: name of the object.
+        :returns: the object; revision 0 when it does not exist.
+        :raises PlatformError: when the call fails.
         """
         answer = await self._call('GET', f'/objects/{kind}/{name}')
         if answer.status == store_codec.NOT_FOUND:
@@ -62,17 +63,17 @@
         return store_codec.decode_object(store_codec.check_done(answer))
 
     async def write(self, kind: str, stored: StoreObject) -> StoreObject:
-        """Write an object if it still has its revision.
-
-        :param kind: its kind.
-        :param stored: its new value, with the expected revision; 0 creates,
-            ``ANY_REVISION`` replaces whatever is there.
-        :returns: the object as it is now.
-        :raises MissingObjectError: when there is none to replace.
-        :raises VersionConflictError: when it has another; carries the
-            object.
-        :raises PlatformAwayError: when no answer came; it may be written,
-            also later.
+        """Write an object if it still has the expected revision.
+
+        :param kind: kind of the object.
+        :param stored: new value with the expected revision; 0 creates the
+            object, ``ANY_REVISION`` replaces it unconditionally.
+        :returns: the object as written.
+        :raises MissingObjectError: when there is no object to replace.
+        :raises VersionConflictError: when the revision differs; carries the
+            current object.
+        :raises PlatformUnavailableError: when no response arrives; the write
+            may have taken effect, or may do so later.
         """
         body = store_codec.encode_object(stored)
         path = f'/objects/{kind}'
@@ -83,30 +84,32 @@
         return store_codec.decode_written(replaced)
 
     async def delete(self, kind: str, name: str) -> None:
-        """Delete an object; one that is not there is no error.
+        """Delete an object; a missing object is no error.
 
-        :param kind: its kind.
-        :param name: its name.
-        :raises PlatformError: when it failed.
+        :param kind: kind of the object.
+        :param name: name of the object.
+        :raises PlatformError: when the call fails.
         """
         answer = await self._call('DELETE', f'/objects/{kind}/{name}')
         if answer.status != store_codec.NOT_FOUND:
             store_codec.check_done(answer)
 
     async def watch(self, kind: str, revision: int) -> Changes:
-        """Wait for changes of a kind.
+        """Wait for changes of objects of a kind.
 
-        :param kind: the kind.
-        :param revision: from the listing or the watch before.
-        :returns: what changed, possibly nothing.
+        :param kind: kind of the objects.
+        :param revision: revision from the previous listing or watch.
+        :returns: the changes; empty when the watch timed out.
         :raises HistoryLostError: when the kind has to be listed again.
-        :raises PlatformError: when it failed otherwise.
+        :raises PlatformError: when the call fails otherwise.
         """
         wait = int(WATCH_TIMEOUT_S * _MS)
         path = f'/objects/{kind}?watch={revision}&waitMs={wait}'
         answer = await self._call('GET', path, wait=WATCH_TIMEOUT_S)
         if answer.status == store_codec.GONE:
-            raise HistoryLostError(f'history of {kind} is gone.')
+            raise HistoryLostError(
+                f'store no longer has the changes of {kind} after {revision}.'
+            )
         return store_pages.decode_changes(answer)
 
     async def _call(
@@ -122,7 +125,9 @@
 
 
 def _find_last(page: Page) -> str:
-    """Find the name after which the next page begins."""
+    """Find the name after which the next page starts."""
     if not page.listing.found:
-        raise PlatformError('a whole page of the listing is not readable.')
+        raise PlatformError(
+            'no object on a page of the listing can be decoded.'
+        )
     return quote(page.listing.found[-1].name, safe='')
--- a/src/dykemast/_internal/platform/prompt_headers.py
+++ b/src/dykemast/_internal/platform/prompt_headers.py
@@ -1,4 +1,4 @@
-"""Texts of header fields that describe a prompt and a caller's patience."""
+"""Decoding of header fields for the prompt and the caller's timeout."""
 
 from typing import Final, NamedTuple
 
@@ -8,10 +8,10 @@
 
 
 class DeclaredTokens(NamedTuple):
-    """What a caller declares of its request.
+    """Token counts that a caller declares for its request.
 
     :param prompt: tokens of the prompt.
-    :param output: most tokens to come out.
+    :param output: maximum number of output tokens.
     """
 
     prompt: int
@@ -19,21 +19,21 @@
 
 
 def decode_timeout(text: str | None) -> float | None:
-    """Decode how long a caller will wait.
+    """Decode the time that a caller waits for the response.
 
     :param text: milliseconds; None when the field is missing.
     :returns: seconds.
-    :raises ValueError: when it makes no sense.
+    :raises ValueError: when the text is malformed.
     """
     return None if text is None else int(text) / _MS
 
 
 def decode_tokens(text: str | None) -> DeclaredTokens:
-    """Decode the declared tokens.
+    """Decode the declared token counts.
 
     :param text: ``PROMPT,OUTPUT``; None when the field is missing.
-    :returns: the tokens, 0 each when there are none.
-    :raises ValueError: when it makes no sense.
+    :returns: the token counts; both 0 when none are declared.
+    :raises ValueError: when the text is malformed.
     """
     if not text:
         return DeclaredTokens(0, 0)
@@ -46,7 +46,7 @@
 
     :param text: ``KEY:TOKENS,...``; None when the field is missing.
     :returns: the parts in order.
-    :raises ValueError: when it makes no sense.
+    :raises ValueError: when the text is malformed.
     """
     if not text:
         return ()
--- a/src/dykemast/_internal/platform/request_headers.py
+++ b/src/dykemast/_internal/platform/request_headers.py
@@ -1,4 +1,4 @@
-"""Header fields of callers' requests, and of sends to backend servers."""
+"""Header fields of callers' requests and of backend requests."""
 
 from typing import Any, Final
 
@@ -22,10 +22,10 @@
 
 
 def find_request_id(scope: Any) -> str:
-    """Find the id that the caller gave a request.
+    """Find the request id that the caller set.
 
     :param scope: ASGI scope.
-    :returns: the id; empty when there is none.
+    :returns: the id; empty when the caller set none.
     """
     wanted = names.ATTEMPT_ID.encode()
     for name, text in scope['headers']:
@@ -39,7 +39,7 @@
 
     :param scope: ASGI scope.
     :returns: the request.
-    :raises ValueError: when a field makes no sense.
+    :raises ValueError: when a field is malformed or repeated.
     """
     pairs = [
         (name.decode(_ENCODING).lower(), _decode_text(text))
@@ -68,11 +68,11 @@
 def encode_forwarding(
     request: CallerRequest, added: ForwardingFields
 ) -> Fields:
-    """Make the header fields of a send to a backend server.
+    """Encode the header fields of a backend request.
 
     :param request: the caller's request.
-    :param added: what this router says.
-    :returns: the fields.
+    :param added: fields that this router sets.
+    :returns: names and values of the header fields.
     """
     left = max(1, int(added.time_left_s * _MS))
     own: Fields = [
@@ -91,7 +91,8 @@
 
 
 def _decode_text(text: bytes) -> str:
-    # Sends are encoded as UTF-8, so what is UTF-8 goes on as it came.
+    # Backend requests are encoded as UTF-8, so UTF-8 values are forwarded
+    # unchanged.
     try:
         return text.decode()
     except UnicodeDecodeError:
--- a/src/dykemast/_internal/platform/routes.py
+++ b/src/dykemast/_internal/platform/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the configuration."""
+"""Decoding of the routes in the configuration."""
 
 from types import MappingProxyType
 from typing import Any, Final
@@ -25,8 +25,8 @@
 def decode_routes(listed: list[Document]) -> dict[RouteKey, Route]:
     """Decode all routes.
 
-    :param listed: as the configuration lists them.
-    :returns: routes by host name and prefix.
+    :param listed: routes of the configuration document.
+    :returns: routes by host name and path prefix.
     """
     routes = (_decode_route(fields) for fields in listed)
     return {RouteKey(route.host, route.prefix): route for route in routes}
@@ -51,17 +51,17 @@
 
 
 def decode_allowed_regions(fields: Document) -> frozenset[str] | None:
-    """Decode where the requests of a route or workspace have to stay.
+    """Decode the allowed regions of a route or workspace.
 
-    :param fields: of the route or workspace.
-    :returns: regions; None where they may go anywhere.
+    :param fields: fields of the route or workspace.
+    :returns: the allowed regions; None when all are allowed.
     """
     regions = fields.get('allowedRegions')
     return frozenset(regions) if regions else None
 
 
 def _decode_shares(fields: Document) -> tuple[Share, ...]:
-    # A route names either one service or a split over several.
+    # A route has either one service or a weighted split over several.
     split = fields.get('split')
     if not split:
         return (Share(fields['service'], 1),)
--- a/src/dykemast/_internal/platform/servers.py
+++ b/src/dykemast/_internal/platform/servers.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers in the store, and of halls to be emptied."""
+"""Store entries of backend servers and of halls being evacuated."""
 
 import re
 from typing import Annotated, Any, Final, Literal, NotRequired, TypedDict
@@ -10,26 +10,26 @@
 from dykemast._internal.platform.store_types import StoreObject
 from dykemast._internal.platform.endpoints import decode_endpoint
 
-#: Kind of these objects.
+#: Kind of the backend server entries.
 SERVER_KIND: Final = 'servers'
-#: Kind of objects that ask that a hall's servers get nothing more, each by the
-#: name of its hall; what they hold says nothing else.
+#: Kind of objects that request the evacuation of a hall. The object's name is
+#: the hall; its content is ignored.
 EVACUATION_KIND: Final = 'evacuations'
-#: Requests at once that an entry may claim. Far above those
-#: of any real one: one that claims more would be sent everything.
+#: Highest number of concurrent requests that an entry may claim, far above that
+#: of real servers. A server that claims more would attract all requests.
 MAX_SLOTS: Final = 100_000
-#: Counts of heartbeats and of milliseconds, far beyond any that are true.
+#: Bound for heartbeat counts and milliseconds, far above real values.
 MAX_COUNT: Final = 1_000_000_000_000_000
-#: Ids go into a header field of each send, so they are visible characters.
+#: Ids are sent in a header field, so they contain visible characters only.
 _ID: Final = re.compile('[!-~]{1,200}')
-#: Characters of a name, and of an address; far more than users give.
+#: Maximum length of names and addresses, far above those in use.
 _MAX_TEXT_CHARS: Final = 200
 _READY: Final = 'ready'
 _MS: Final = 1000.0
-#: Milliseconds for which the server is still cold.
+#: Field with the milliseconds for which the server stays cold.
 _COLD_LEFT: Final = 'coldLeftMs'
-#: Seconds for which an entry may claim that its server is cold: one that
-#: claims more would get a trickle for ever.
+#: Longest time for which an entry may declare its server cold. Without a bound
+#: the server could stay rate-limited forever.
 MAX_COLD_S: Final = 600.0
 
 _Text = Annotated[str, msgspec.Meta(min_length=1, max_length=_MAX_TEXT_CHARS)]
@@ -38,7 +38,7 @@
 
 
 class _Fields(TypedDict):
-    """What an entry has to hold, and what may be in it besides."""
+    """Required and optional fields of an entry."""
 
     service: _Text
     address: _Text
@@ -53,15 +53,19 @@
     """Decode a backend server's entry.
 
     :param stored: the object; its name is the server's id.
-    :returns: the server, named by its id alone.
-    :raises NotUsableError: when it names no server to use.
+    :returns: the server; its name is the id without an incarnation.
+    :raises InvalidDataError: when the id or a field is invalid.
     """
     if not _ID.fullmatch(stored.name):
-        raise InvalidDataError('the id is no word of visible characters.')
+        raise InvalidDataError(
+            f'server id {stored.name!r} is not 1 to 200 visible characters.'
+        )
     try:
         return _decode(stored)
     except ValueError as error:
-        raise InvalidDataError(f'the entry makes no sense: {error}') from error
+        raise InvalidDataError(
+            f'invalid entry of {stored.name}: {error}'
+        ) from error
 
 
 def _decode(stored: StoreObject) -> BackendServer:
--- a/src/dykemast/_internal/platform/settings.py
+++ b/src/dykemast/_internal/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process, from the platform's file."""
+"""Settings of a process, read from the platform's settings file."""
 
 import os
 import tomllib
@@ -18,11 +18,12 @@
 
 #: Environment variable that names the settings file.
 PATH_VARIABLE: Final = 'DYKEMAST_SETTINGS'
-#: Port of the metrics, as in deploy/system.toml.
+#: Port of the metrics endpoint; must match deploy/system.toml.
 METRICS_PORT: Final = 9464
-#: Descriptors that the platform keeps back for files.
+#: File descriptors that the platform reserves for files.
 _FILE_DESCRIPTORS: Final = 200
-#: Seconds promised where the settings do not say: the shortest of the users.
+#: Bound for applying a change where the settings name none: the shortest that
+#: users set.
 DEFAULT_BOUND_S: Final = 2.0
 _MS: Final = 1000
 
@@ -31,11 +32,12 @@
     """Read the settings of this process.
 
     :returns: the settings; unknown fields are ignored.
-    :raises InvalidFileError: with all findings.
+    :raises InvalidFileError: with all findings, when a field is missing or
+        invalid.
     """
     path = os.environ.get(PATH_VARIABLE, '')
     if not path:
-        text = 'not set; it names the settings file.'
+        text = 'not set; it must contain the path of the settings file.'
         raise InvalidFileError([Finding('environment', 0, PATH_VARIABLE, text)])
     try:
         with open(path, 'rb') as source:
@@ -46,10 +48,10 @@
 
 
 def read_change_time() -> float:
-    """Read when the settings file was changed.
+    """Read the modification time of the settings file.
 
-    :returns: seconds on the clock of the file system; 0 when there is none,
-        which ``read_settings`` tells.
+    :returns: seconds since 1970 by the file system's clock; 0 when there is no
+        file, which ``read_settings`` reports.
     """
     try:
         return os.stat(os.environ.get(PATH_VARIABLE, '')).st_mtime
@@ -80,7 +82,7 @@
     return Listeners(
         caller=reader.read('listen.frontend', decode_endpoint),
         readiness=reader.read('listen.readiness', decode_endpoint),
-        # The registry tells callers where to go.
+        # The entry endpoint tells callers which routers to use.
         entry=reader.read('listen.directory', decode_endpoint),
         peer=Endpoint(host, first_port or 0),
         metrics=Endpoint(host, METRICS_PORT),
--- a/src/dykemast/_internal/platform/settings_reader.py
+++ b/src/dykemast/_internal/platform/settings_reader.py
@@ -1,4 +1,4 @@
-"""Fields of the settings file, with findings for all that are wrong."""
+"""Reader for fields of the settings file that collects findings."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,14 +7,14 @@
 
 
 class SettingsReader:
-    """Reads fields of the file and collects findings.
+    """Reads fields of a settings file and collects findings.
 
-    :param path: the file.
-    :param document: what it holds.
+    :param path: path of the file, for findings.
+    :param document: the decoded file.
     """
 
     def __init__(self, path: str, document: dict[str, Any]) -> None:
-        """Find nothing yet."""
+        """Initialize the reader without findings."""
         self.path = path
         self.findings: list[Finding] = []
         self._document = document
@@ -22,9 +22,10 @@
     def read(self, field: str, convert: Callable[[Any], Any]) -> Any:
         """Read a field.
 
-        :param field: its dotted path.
-        :param convert: makes what it holds usable, or raises.
-        :returns: what it holds; None with a finding when it is wrong.
+        :param field: dotted path of the field.
+        :param convert: converts the value, or raises if it is invalid.
+        :returns: the converted value; None, and a finding, if it is missing or
+            invalid.
         """
         found = self._find(field)
         if found is None:
@@ -33,7 +34,7 @@
         try:
             return convert(found)
         except (TypeError, ValueError, IndexError) as error:
-            self._add(field, f'not usable: {error}.')
+            self._add(field, f'invalid value {found!r}: {error}.')
         return None
 
     def read_or(
@@ -42,12 +43,13 @@
         convert: Callable[[Any], Any],
         default: Any,
     ) -> Any:
-        """Read a field that may be missing.
+        """Read an optional field.
 
-        :param field: its dotted path.
-        :param convert: makes what it holds usable, or raises.
-        :param default: stands for a missing field.
-        :returns: what it holds; the default with a finding when it is wrong.
+        :param field: dotted path of the field.
+        :param convert: converts the value, or raises if it is invalid.
+        :param default: value for a missing field.
+        :returns: the converted value; the default, and a finding, if it is
+            invalid.
         """
         if self._find(field) is None:
             return default
--- a/src/dykemast/_internal/platform/store_codec.py
+++ b/src/dykemast/_internal/platform/store_codec.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform's object store: single objects."""
+"""Encoding of single objects of the platform's object store."""
 
 from typing import Any, Final
 
@@ -18,15 +18,15 @@
 GONE: Final = 410
 _CONFLICT: Final = 409
 _DONE: Final = frozenset((200, 201))
-#: Answers that say that nothing was done.
+#: Statuses that guarantee that the call had no effect.
 _REFUSED: Final = frozenset((429, 503))
 
 
 def encode_object(stored: StoreObject) -> bytes:
-    """Write an object down.
+    """Encode an object.
 
-    :param stored: the object; a revision other than 0 has to be met.
-    :returns: the body.
+    :param stored: the object; a revision above 0 must match the stored one.
+    :returns: the request body.
     """
     metadata: dict[str, Any] = {'name': stored.name}
     if stored.revision > 0:
@@ -35,43 +35,45 @@
 
 
 def decode_object(body: bytes) -> StoreObject:
-    """Read an object.
+    """Decode an object.
 
-    :param body: as the store wrote it.
+    :param body: response body of the store.
     :returns: the object.
-    :raises PlatformError: when it does not tell its name and revision.
+    :raises PlatformError: when it has no valid name and revision.
     """
     stored = decode_item(body)
     if stored is None:
-        raise PlatformError('the store sent something that is no object.')
+        raise PlatformError(
+            'store response has no valid object name and revision.'
+        )
     return stored
 
 
 def decode_written(answer: Answer) -> StoreObject:
-    """Read the answer to a write.
+    """Decode the response to a write.
 
-    :param answer: the answer.
-    :returns: the object as it is now.
-    :raises VersionConflictError: when it has another revision.
-    :raises MissingObjectError: when there is none.
+    :param answer: response of the store.
+    :returns: the object as written.
+    :raises VersionConflictError: when the object has another revision.
+    :raises MissingObjectError: when the object does not exist.
     :raises PlatformError: when the write failed otherwise.
     """
     if answer.status == _CONFLICT:
-        text = 'the object has another revision.'
+        text = 'the object does not have the expected revision.'
         raise VersionConflictError(text, decode_item(answer.body))
     if answer.status == NOT_FOUND:
-        raise MissingObjectError('there is no such object.')
+        raise MissingObjectError('the object does not exist.')
     return decode_object(check_done(answer))
 
 
 def check_done(answer: Answer) -> bytes:
-    """Check that a call was carried out.
+    """Check that a call succeeded.
 
-    :param answer: the answer.
-    :returns: its body.
+    :param answer: response of the store.
+    :returns: the response body.
     :raises PlatformError: when the call failed.
     """
     if answer.status not in _DONE:
-        text = f'the store answered {answer.status}.'
+        text = f'store answered with status {answer.status}.'
         raise PlatformUnavailableError(text, refused=answer.status in _REFUSED)
     return answer.body
--- a/src/dykemast/_internal/platform/store_items.py
+++ b/src/dykemast/_internal/platform/store_items.py
@@ -1,8 +1,8 @@
-"""Items of a page or a watch, told apart before any is read.
+"""Item-by-item decoding of listings and watches.
 
-Anyone may write to the store. One item that cannot be read must cost no more
-than itself: while a page was read as a whole, one text that was not UTF-8
-left the fleet without any backend server.
+Any client can write to the store, so an invalid item must not affect others.
+If a page were decoded as a whole, a single string that is not UTF-8 would
+leave the fleet without any backend server.
 """
 
 from collections.abc import Iterable
@@ -23,17 +23,17 @@
 
 
 class _Envelope(msgspec.Struct):
-    """An object whose content is still unread; no dictionary holds that."""
+    """An object with undecoded content, which a TypedDict cannot hold."""
 
     metadata: _Metadata
     spec: msgspec.Raw = msgspec.Raw(b'null')
 
 
 def decode_readable(raws: Iterable[bytes]) -> list[StoreObject]:
-    """Read the items that can be read; the others are logged.
+    """Decode items; log the number of those that are invalid.
 
-    :param raws: items as they came.
-    :returns: the objects.
+    :param raws: undecoded items.
+    :returns: the objects that could be decoded.
     """
     found = [decode_item(raw) for raw in raws]
     unreadable = found.count(None)
@@ -43,11 +43,11 @@
 
 
 def decode_item(raw: bytes) -> StoreObject | None:
-    """Read one object.
+    """Decode one object.
 
-    :param raw: as it came.
-    :returns: the object, with None in it where what it holds cannot be read;
-        nothing where it does not even tell its name.
+    :param raw: undecoded object.
+    :returns: the object, with a spec of None when its content is invalid; None
+        when its name or revision cannot be decoded.
     """
     try:
         envelope = msgspec.json.decode(raw, type=_Envelope)
--- a/src/dykemast/_internal/platform/store_pages.py
+++ b/src/dykemast/_internal/platform/store_pages.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform's object store: listings and watches."""
+"""Decoding of listings and watches of the platform's object store."""
 
 from typing import NotRequired, TypedDict, TypeVar
 
@@ -31,22 +31,24 @@
         'morePages': NotRequired[bool],
     },
 )
-_Told = TypedDict('_Told', {'events': list[msgspec.Raw], 'storeRevision': int})
+_WatchBody = TypedDict(
+    '_WatchBody', {'events': list[msgspec.Raw], 'storeRevision': int}
+)
 
 
 class _Event(msgspec.Struct):
-    """A change whose object is still unread; no dictionary holds that."""
+    """A change with an undecoded object, which a TypedDict cannot hold."""
 
     removed: bool
     changed: msgspec.Raw = msgspec.field(name='object')
 
 
 def decode_page(answer: Answer) -> Page:
-    """Read one page of a listing; items that cannot be read are left out.
+    """Decode one page of a listing; items that are invalid are left out.
 
-    :param answer: the answer.
+    :param answer: response of the store.
     :returns: the page.
-    :raises PlatformError: when the call failed.
+    :raises PlatformError: when the call failed or the page is invalid.
     """
     page = _decode_as(check_done(answer), _Page)
     listing = Listing(decode_readable(page['items']), page['storeRevision'])
@@ -54,27 +56,29 @@
 
 
 def decode_changes(answer: Answer) -> Changes:
-    """Read the answer to a watch.
+    """Decode the response to a watch.
 
-    :param answer: the answer.
+    :param answer: response of the store.
     :returns: the changes.
-    :raises HistoryLostError: when a change cannot be read: only a listing
-        tells which objects there are now.
+    :raises HistoryLostError: when a change cannot be decoded; only a new
+        listing shows which objects exist.
     :raises PlatformError: when the watch failed.
     """
-    told = _decode_as(check_done(answer), _Told)
-    events = [_decode_event(raw) for raw in told['events']]
-    return Changes(events, told['storeRevision'])
+    decoded = _decode_as(check_done(answer), _WatchBody)
+    events = [_decode_event(raw) for raw in decoded['events']]
+    return Changes(events, decoded['storeRevision'])
 
 
 def _decode_event(raw: bytes) -> Event:
     try:
         event = msgspec.json.decode(raw, type=_Event)
     except DECODE_ERRORS as error:
-        raise HistoryLostError(f'a change is not readable: {error}') from error
+        raise HistoryLostError(f'cannot decode a change: {error}') from error
     changed = decode_item(event.changed)
     if changed is None:
-        raise HistoryLostError('a changed object is not readable.')
+        raise HistoryLostError(
+            'cannot decode the name and revision of a changed object.'
+        )
     return Event(changed, event.removed)
 
 
@@ -86,9 +90,9 @@
 
 
 def _decode_repaired(body: bytes, kind: type[_Document]) -> _Document:
-    """Read a document in which an item is no JSON at all."""
+    """Decode a document in which single items are not valid JSON."""
     try:
         return msgspec.json.decode(blank_unreadable(body), type=kind)
     except DECODE_ERRORS as error:
-        text = f'the store sent something else: {error}'
+        text = f'cannot decode the store response: {error}'
         raise PlatformError(text) from error
--- a/src/dykemast/_internal/platform/store_types.py
+++ b/src/dykemast/_internal/platform/store_types.py
@@ -1,8 +1,8 @@
-"""What the platform's object store holds and tells."""
+"""Objects, listings and change events of the platform's object store."""
 
 from typing import Any, Final, NamedTuple
 
-#: Of a write that replaces an object whatever it was before.
+#: Revision for a write that replaces an object unconditionally.
 ANY_REVISION: Final = -1
 
 
@@ -10,8 +10,8 @@
     """An object of the store.
 
     :param name: unique in its kind.
-    :param revision: of its last change; 0 when it does not exist.
-    :param spec: what it holds.
+    :param revision: revision of its last change; 0 when it does not exist.
+    :param spec: content of the object.
     """
 
     name: str
@@ -22,8 +22,8 @@
 class Listing(NamedTuple):
     """All objects of a kind.
 
-    :param found: the objects, as they were.
-    :param revision: of the store; a watch goes on from it.
+    :param found: the objects.
+    :param revision: store revision from which a watch continues.
     """
 
     found: list[StoreObject]
@@ -33,7 +33,7 @@
 class Page(NamedTuple):
     """A page of a listing.
 
-    :param listing: what is on it.
+    :param listing: the objects on this page.
     :param more: whether another page follows.
     """
 
@@ -44,8 +44,8 @@
 class Event(NamedTuple):
     """A change of an object.
 
-    :param changed: the object, as it is or as it was when it was removed.
-    :param removed: whether it is gone.
+    :param changed: the object after the change, or as it was when removed.
+    :param removed: whether the object was removed.
     """
 
     changed: StoreObject
@@ -53,10 +53,10 @@
 
 
 class Changes(NamedTuple):
-    """Answer of a watch.
+    """Response to a watch.
 
-    :param events: in order.
-    :param revision: the next watch goes on from it.
+    :param events: changes in order.
+    :param revision: store revision from which the next watch continues.
     """
 
     events: list[Event]
