--- a/src/dykemast/_internal/network/__init__.py
+++ b/src/dykemast/_internal/network/__init__.py
@@ -1,1 +1,1 @@
-"""All sessions with callers, peers, platform and backend servers."""
+"""Network sessions with callers, peers, platform and backend servers."""
--- a/src/dykemast/_internal/network/admin_api.py
+++ b/src/dykemast/_internal/network/admin_api.py
@@ -1,4 +1,4 @@
-"""HTTP API for operators, on an address of its own (docs/api.md)."""
+"""Administration API for operators, on a separate address (docs/api.md)."""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
@@ -23,9 +23,9 @@
 
 
 def make_admin_app(parts: AdminParts) -> applications.Starlette:
-    """Make the application that operators meet.
+    """Make the ASGI application of the administration API.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :returns: the application.
     """
 
--- a/src/dykemast/_internal/network/admin_client.py
+++ b/src/dykemast/_internal/network/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls of the administration API, for the command line."""
+"""Client of the administration API for the command line."""
 
 import asyncio
 from typing import Any, Final, NamedTuple
@@ -13,7 +13,6 @@
     StaleRevisionError,
 )
 
-#: Seconds to wait for an answer.
 CALL_TIMEOUT_S: Final = 15.0
 _CONFLICT: Final = 409
 _INVALID: Final = 422
@@ -21,9 +20,9 @@
 
 
 class AdminAddress(NamedTuple):
-    """Where the administration API is, and the key to it.
+    """Address and key of the administration API.
 
-    :param url: without a path.
+    :param url: URL without a path.
     :param key: the operators' key.
     """
 
@@ -39,14 +38,14 @@
 ) -> Any:
     """Call the administration API.
 
-    :param address: where it is.
+    :param address: address and key of the API.
     :param method: HTTP method.
     :param path: path and query.
-    :param fields: JSON to send, if any.
-    :returns: the decoded answer.
-    :raises AdminError: when there is none, or it is a refusal.
-    :raises InvalidFileError: when what was sent has findings.
-    :raises StaleRevisionError: when another change came first.
+    :param fields: JSON body, if any.
+    :returns: the decoded response.
+    :raises AdminError: when there is no response, or the call is refused.
+    :raises InvalidFileError: when the submitted file has findings.
+    :raises StaleRevisionError: when the base revision is not the newest.
     """
     return asyncio.run(_call(address, method, path, fields))
 
@@ -72,7 +71,7 @@
 
 def _explain(address: AdminAddress, error: Exception) -> str:
     return (
-        f'no answer from {address.url} ({type(error).__name__}). '
+        f'no response from {address.url} ({type(error).__name__}). '
         'Is a router running there? Set --admin or DYKEMAST_ADMIN.'
     )
 
@@ -81,7 +80,9 @@
     try:
         fields = msgspec.json.decode(body)
     except msgspec.MsgspecError as error:
-        raise AdminError(f'the answer ({status}) is no JSON.') from error
+        raise AdminError(
+            f'the response (status {status}) is not valid JSON.'
+        ) from error
     if status == _OK:
         return fields
     if status == _INVALID and 'findings' in fields:
--- a/src/dykemast/_internal/network/admin_parts.py
+++ b/src/dykemast/_internal/network/admin_parts.py
@@ -1,4 +1,4 @@
-"""What the administration API needs of the router."""
+"""Components of the router that the administration API uses."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,13 +13,13 @@
 
 
 class AdminParts(NamedTuple):
-    """Parts of the router.
+    """Components used by the administration API.
 
-    :param board: the blackboard; only read.
+    :param board: the blackboard; read only.
     :param platform: session with the platform.
-    :param store: revisions.
-    :param keepers: way to the budget shards.
-    :param render: writes the metrics.
+    :param store: store of configuration revisions.
+    :param keepers: access to the budget shards.
+    :param render: renders the metrics.
     """
 
     board: Blackboard
@@ -32,9 +32,9 @@
 def has_operator_key(parts: AdminParts, request: Request) -> bool:
     """Tell whether a request carries the operators' key.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param request: the request.
-    :returns: whether it does.
+    :returns: whether the key matches.
     """
     known = parts.board.settings['operator_key_sha256']
     return digests_match(hash_bearer(request.headers), known)
--- a/src/dykemast/_internal/network/admin_reads.py
+++ b/src/dykemast/_internal/network/admin_reads.py
@@ -1,4 +1,4 @@
-"""What operators read."""
+"""Read operations of the administration API."""
 
 from typing import Any
 
@@ -9,9 +9,9 @@
 
 
 async def read_configuration(parts: AdminParts, _: Request) -> Any:
-    """Read the newest revision.
+    """Read the newest revision of the configuration.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :returns: its number and the configuration.
     """
     revision = await parts.store.read_newest()
@@ -24,7 +24,7 @@
 async def read_budgets(parts: AdminParts, _: Request) -> Any:
     """Read all budgets.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :returns: budgets by name.
     """
     return await admin_views.view_budgets(parts.platform)
@@ -33,8 +33,8 @@
 async def read_bills(parts: AdminParts, request: Request) -> Any:
     """Read bills.
 
-    :param parts: parts of the router.
-    :param request: names the workspace, or none for all.
+    :param parts: shared components of the router.
+    :param request: its query names the workspace; all if it names none.
     :returns: bills, oldest first.
     """
     workspace = request.query_params.get('workspace', '')
@@ -42,9 +42,9 @@
 
 
 async def read_fleet(parts: AdminParts, _: Request) -> Any:
-    """Read what this router knows of the fleet.
+    """Read this router's view of the fleet.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :returns: routers and workers.
     """
     return admin_views.view_fleet(parts.board)
--- a/src/dykemast/_internal/network/admin_views.py
+++ b/src/dykemast/_internal/network/admin_views.py
@@ -1,4 +1,4 @@
-"""What operators see of budgets, bills and the fleet."""
+"""Views of budgets, bills and the fleet for the administration API."""
 
 from typing import Any
 
@@ -16,10 +16,10 @@
 
 
 async def view_budgets(platform: Platform) -> list[dict[str, Any]]:
-    """Show all budgets.
+    """List all budgets.
 
     :param platform: session with the platform.
-    :returns: one entry a budget, by name.
+    :returns: one entry per budget, ordered by name.
     """
     shown: list[dict[str, Any]] = []
     for listed in await platform.list_objects(budget_ledger.PREFIX):
@@ -43,11 +43,11 @@
 async def view_bills(
     platform: Platform, workspace: str
 ) -> list[dict[str, Any]]:
-    """Show the bills in the journal.
+    """List the bills in the journal.
 
     :param platform: session with the platform.
-    :param workspace: whose; empty for all.
-    :returns: one entry a bill, oldest first.
+    :param workspace: workspace of the bills; empty for all.
+    :returns: one entry per bill, oldest first.
     """
     bills: list[dict[str, Any]] = []
     for listed in await platform.list_objects(journal_ledger.PREFIX):
@@ -63,7 +63,7 @@
 
 
 def view_fleet(board: Blackboard) -> dict[str, Any]:
-    """Show what this router knows of the fleet.
+    """Show this router's view of the fleet.
 
     :param board: the blackboard.
     :returns: routers with their revision, and workers with their load.
--- a/src/dykemast/_internal/network/admin_writes.py
+++ b/src/dykemast/_internal/network/admin_writes.py
@@ -1,4 +1,4 @@
-"""What operators change."""
+"""Write operations of the administration API."""
 
 from typing import Any, NamedTuple
 
@@ -18,8 +18,8 @@
 
     :param text: the YAML document.
     :param path: name of its file, for findings.
-    :param base: number of the revision that it was made from.
-    :param submission: id by which a repeat is known.
+    :param base: number of the revision that it is based on.
+    :param submission: idempotency key of the submission.
     """
 
     text: str
@@ -31,24 +31,24 @@
 async def check(parts: AdminParts, request: Request) -> Any:
     """Check a configuration without submitting it.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param request: carries a :class:`Submission`.
-    :returns: no findings; those there are come as an error.
+    :returns: an empty list of findings; findings are raised as an error.
     """
-    order = await _read_body(request, Submission)
-    check_configuration(order.path, order.text)
+    submitted = await _read_body(request, Submission)
+    check_configuration(submitted.path, submitted.text)
     return {'findings': []}
 
 
 async def compare_with_newest(parts: AdminParts, request: Request) -> Any:
     """Compare a configuration with the newest revision.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param request: carries a :class:`Submission`.
     :returns: the revision's number and the differences.
     """
-    order = await _read_body(request, Submission)
-    configuration = check_configuration(order.path, order.text)
+    submitted = await _read_body(request, Submission)
+    configuration = check_configuration(submitted.path, submitted.text)
     newest = await parts.store.read_newest()
     found = compare_configurations(newest.configuration, configuration)
     return {
@@ -60,53 +60,62 @@
 async def submit(parts: AdminParts, request: Request) -> Any:
     """Make a configuration the next revision.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param request: carries a :class:`Submission`.
     :returns: the revision's number.
     """
-    order = await _read_body(request, Submission)
-    if not order.submission:
-        raise msgspec.ValidationError('A submission has an id.')
-    configuration = check_configuration(order.path, order.text)
+    submitted = await _read_body(request, Submission)
+    if not submitted.submission:
+        raise msgspec.ValidationError('submission: a non-empty id is required.')
+    configuration = check_configuration(submitted.path, submitted.text)
     number = await parts.store.submit(
-        configuration, order.base, order.submission
+        configuration, submitted.base, submitted.submission
     )
     return {'revision': number}
 
 
 async def top_up(parts: AdminParts, request: Request) -> Any:
-    """Add paid tokens to a budget, once for each id.
+    """Add paid tokens to a budget, once per top-up id.
 
-    :param parts: parts of the router.
+    :param parts: shared components of the router.
     :param request: carries a ``TopupIntent``.
-    :returns: the budget after it.
+    :returns: the budget after the top-up.
     """
-    order = await _read_body(request, TopupIntent)
-    _check_topup(parts, order)
+    intent = await _read_body(request, TopupIntent)
+    _check_topup(parts, intent)
     shards = parts.board.settings.get('budget_shards', 1)
-    ledger = f'{PREFIX}{choose_shard(order.budget, shards)}'
-    ack = (await parts.keepers.commit(ledger, [order]))[0]
-    return {'budget': order.budget, 'paid': ack.paid, 'unspent': ack.unspent}
+    ledger = f'{PREFIX}{choose_shard(intent.budget, shards)}'
+    ack = (await parts.keepers.commit(ledger, [intent]))[0]
+    return {
+        'budget': intent.budget,
+        'paid': ack.paid,
+        'unspent': ack.unspent,
+    }
 
 
-def _check_topup(parts: AdminParts, order: TopupIntent) -> None:
+def _check_topup(parts: AdminParts, intent: TopupIntent) -> None:
     revision = parts.board.rules.revision
     workspaces = revision.configuration['workspaces'] if revision else []
-    owner, _, name = order.budget.partition('/')
+    owner, _, name = intent.budget.partition('/')
     if not name or owner not in {one['name'] for one in workspaces}:
-        text = 'No workspace has this budget; write WORKSPACE/NAME.'
+        text = f'no workspace for budget {intent.budget!r}; use WORKSPACE/NAME.'
         raise msgspec.ValidationError(text)
-    if order.tokens < 1 or not order.topup:
-        raise msgspec.ValidationError('A top-up has an id and tokens above 0.')
+    if intent.tokens < 1 or not intent.topup:
+        raise msgspec.ValidationError(
+            f'top-up of {intent.tokens} tokens with id {intent.topup!r}: '
+            'tokens must be above 0, and an id is required.'
+        )
 
 
 async def _read_body(request: Request, shape: Any) -> Any:
     body = await request.body()
     fields = msgspec.json.decode(body, type=dict[str, Any])
     known = [name for name in shape._fields if name in fields]
-    # Named tuples travel as arrays; what people write is by name.
-    ordered = shape._field_defaults | {name: fields[name] for name in known}
-    missing = [name for name in shape._fields if name not in ordered]
+    # msgspec decodes named tuples from arrays; operators send fields by name.
+    named = shape._field_defaults | {name: fields[name] for name in known}
+    missing = [name for name in shape._fields if name not in named]
     if missing:
-        raise msgspec.ValidationError('Missing: {}.'.format(', '.join(missing)))
-    return msgspec.convert([ordered[name] for name in shape._fields], shape)
+        raise msgspec.ValidationError(
+            'missing fields: {}.'.format(', '.join(missing))
+        )
+    return msgspec.convert([named[name] for name in shape._fields], shape)
--- a/src/dykemast/_internal/network/backends.py
+++ b/src/dykemast/_internal/network/backends.py
@@ -11,15 +11,13 @@
 from dykemast._internal.models.requests import RequestContext, BackendRequest
 from dykemast._internal.utils.clock import read_clock
 
-#: Seconds to wait for a connection.
 CONNECT_TIMEOUT_S: Final = 1.0
-#: Seconds without a byte after which a server counts as stuck.
+#: Time without received bytes after which a response fails.
 STALL_TIMEOUT_S: Final = 30.0
-#: Seconds to wait for a load report.
 LOAD_TIMEOUT_S: Final = 1.0
-#: Connections to all backend servers together, at most.
+#: Limit for connections to all backend servers together.
 MAX_CONNECTIONS: Final = 4096
-#: Answers by which a server says that it did not start the order.
+#: Statuses of a server that did not start the request.
 _NOT_STARTED: Final = frozenset((429, 503))
 _SERVER_ERROR: Final = 500
 _LOAD_FAILURES: Final = (
@@ -31,15 +29,14 @@
 
 
 class Backends:
-    """Connections to backend servers.
+    """Connection pools for backend servers.
 
-    Orders that may not be repeated get a connection of their own: on a
-    pooled one that the server has closed the library sends some methods a
-    second time by itself.
+    Requests that must not be repeated use a new connection: on a pooled one
+    that the server has closed, the library retries some methods by itself.
     """
 
     def __init__(self) -> None:
-        """Open no connection yet."""
+        """Initialize the pools without opening connections."""
         self._pooled: aiohttp.ClientSession | None = None
         self._single: aiohttp.ClientSession | None = None
 
@@ -49,13 +46,14 @@
         backend_request: BackendRequest,
         context: RequestContext,
     ) -> aiohttp.ClientResponse:
-        """Send an order and wait for the head of the answer.
+        """Send a request and wait for the head of the response.
 
         :param instance: the backend server.
-        :param backend_request: what to send.
-        :param context: whose order it is.
-        :returns: the answer; its body is still to be read.
-        :raises UpstreamError: when there is none, or not to this order.
+        :param backend_request: the request to send.
+        :param context: context of the caller's request.
+        :returns: the response; its body has not been read.
+        :raises UpstreamError: when there is no response, the server fails, or
+            the response belongs to another request.
         """
         session = self._choose_session(repeatable=context.repeatable)
         try:
@@ -73,8 +71,8 @@
         """Read a worker's load report.
 
         :param instance: the worker.
-        :returns: its load.
-        :raises UpstreamError: when it gave none.
+        :returns: the load report.
+        :raises UpstreamError: when there is no valid report.
         """
         url = f'http://{instance.host}:{instance.port}/load'
         timeout = aiohttp.ClientTimeout(total=LOAD_TIMEOUT_S)
--- a/src/dykemast/_internal/network/budget_ledger.py
+++ b/src/dykemast/_internal/network/budget_ledger.py
@@ -1,4 +1,4 @@
-"""Budget shards: objects of the platform that hold budgets by name."""
+"""Budget shards: platform objects that hold budgets by name."""
 
 from typing import Final
 
@@ -11,7 +11,7 @@
 from dykemast._internal.operations.reclaim import ReadLog
 from dykemast._internal.utils.clock import read_clock
 
-#: Start of the names of budget shards.
+#: Prefix of the names of budget shards.
 PREFIX: Final = 'budgets/'
 
 #: Budgets of a shard by name.
@@ -19,11 +19,11 @@
 
 
 class BudgetShard:
-    """One shard as its writer knows it.
+    """Cached state of one shard in the router that writes it.
 
     :param platform: session with the platform.
     :param name: name of the shard's object.
-    :param reads: log of its reads, to add to; a new one where none is given.
+    :param reads: log to which reads of the shard are added; a new one if None.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         name: str,
         reads: ReadLog | None = None,
     ) -> None:
-        """Start with nothing read."""
+        """Initialize the shard without loading it."""
         self.budgets: Budgets = {}
         self.version = 0
         self.reads = reads or ReadLog()
@@ -42,7 +42,7 @@
     async def load(self) -> None:
         """Read the newest state.
 
-        :raises PlatformError: when it could not be read.
+        :raises PlatformError: when the object cannot be read.
         """
         started = read_clock()
         stored = await self._platform.read(self._name)
@@ -51,17 +51,18 @@
         self.reads.record_read(stored.version, started)
 
     def merge(self, batch: list[BudgetIntent]) -> Merge:
-        """Merge intents with the state as read.
+        """Apply intents to the cached state.
 
         :param batch: the intents.
-        :returns: answers, and how to save the merged state.
+        :returns: acknowledgements, and a function that saves the new state.
         """
         budgets = {**self.budgets}
         acks = [_apply(budgets, intent) for intent in batch]
         dirty = budgets != self.budgets
         if dirty:
-            # The conditional update will show that this version still stood;
-            # without one the state may be old, and its version shows nothing.
+            # The conditional update confirms that this version was current.
+            # Without an update the state may be outdated, so its version
+            # proves nothing.
             acks = [ack._replace(version=self.version) for ack in acks]
 
         async def save() -> None:
@@ -73,7 +74,7 @@
         body = msgspec.json.encode(budgets)
         started = read_clock()
         version = await self._platform.write(self._name, body, self.version)
-        # That it succeeded shows that the old version stood when it was sent.
+        # Success proves that the old version was current at the start.
         self.reads.record_read(self.version, started)
         self.version = version
         self.budgets = budgets
@@ -88,9 +89,9 @@
 
 
 def decode_budgets(body: bytes) -> Budgets:
-    """Read the value of a shard's object.
+    """Decode the value of a shard's object.
 
-    :param body: the value; empty when there is no such object.
+    :param body: the value; empty when the object does not exist.
     :returns: budgets by name.
     """
     if not body:
--- a/src/dykemast/_internal/network/caller_api.py
+++ b/src/dykemast/_internal/network/caller_api.py
@@ -23,10 +23,10 @@
 
 
 def make_caller_app(parts: Parts, metrics: Metrics) -> applications.Starlette:
-    """Make the application that callers meet.
+    """Make the ASGI application that serves callers.
 
-    :param parts: parts of the router.
-    :param metrics: counters to keep.
+    :param parts: shared components of the router.
+    :param metrics: metrics to update.
     :returns: the application.
     """
 
--- a/src/dykemast/_internal/network/fleet_calls.py
+++ b/src/dykemast/_internal/network/fleet_calls.py
@@ -1,14 +1,14 @@
 """Calls between routers of a deployment, as ``fleet.thrift`` defines them.
 
-Reading the definition takes a good part of the processor time of a start; so
-its structs are written down here, and a test compares them with the definition.
+Parsing the definition takes a large part of the processor time at startup.
+Its structs are therefore defined here, and a test compares them with it.
 """
 
 from typing import Any
 
 from thriftpy2.thrift import TException, TPayload, TType, gen_init
 
-#: Kind and name of each word of a call, in order.
+#: Type and name of each argument of a call, in order.
 Arguments = tuple[tuple[int, str], ...]
 
 
@@ -26,14 +26,14 @@
 
 
 def _make_arguments(name: str, words: Arguments) -> type:
-    """Make the struct of what a call is given."""
+    """Make the struct of the arguments of a call."""
     fields = enumerate(words, start=1)
     spec = {number: (kind, word, False) for number, (kind, word) in fields}
     return _make_struct(f'{name}_args', spec)
 
 
 def _make_answer(name: str, kind: int) -> type:
-    """Make the struct of what a call returns, or of its refusal."""
+    """Make the struct of the result of a call, or of its refusal."""
     success = (kind, 'success', False)
     refusal = (TType.STRUCT, 'no', Refused, False)
     made = _make_struct(f'{name}_result', {0: success, 1: refusal})
@@ -42,7 +42,7 @@
 
 
 def _add_call(name: str, answer: int, words: Arguments) -> None:
-    """Add a call to the service, by the conventions of the library."""
+    """Add a call to the service by the conventions of thriftpy2."""
     setattr(Fleet, f'{name}_args', _make_arguments(name, words))
     setattr(Fleet, f'{name}_result', _make_answer(name, answer))
     Fleet.thrift_services.append(name)
--- a/src/dykemast/_internal/network/idle_pools.py
+++ b/src/dykemast/_internal/network/idle_pools.py
@@ -1,4 +1,4 @@
-"""Idle connections of the HTTP client's pools."""
+"""Clock for idle connections in the HTTP client's pools."""
 
 from aiohttp import connector
 
@@ -6,9 +6,10 @@
 
 
 def set_pool_clock() -> None:
-    """Have pools reckon by this program's clock how long connections rest.
+    """Make connection pools measure idle time by this program's clock.
 
-    The library's own does not count the time asleep: servers have closed by
-    then what it still uses, and a request that is sent there may have run.
+    The library's clock stops while the machine is suspended. Pools would
+    then reuse connections that servers have closed, and it is unknown whether
+    a request sent over one of them has run.
     """
     connector.monotonic = read_clock
--- a/src/dykemast/_internal/network/journal_ledger.py
+++ b/src/dykemast/_internal/network/journal_ledger.py
@@ -1,8 +1,8 @@
-"""Journal shards: runs of segment objects that hold claims and bills.
+"""Journal shards: sequences of segment objects that hold claims and bills.
 
-Only the last segment is open. It is sealed by a conditional update before
-its successor is made, so a writer that slept through a hand-over fails on
-its next write instead of writing beside its successor.
+Only the last segment is open. A conditional update seals it before the next
+one is created. A writer that was suspended while another one took over
+therefore fails on its next write instead of writing concurrently.
 """
 
 import math
@@ -21,18 +21,18 @@
 )
 from dykemast._internal.utils.clock import read_time_of_day
 
-#: Start of the names of segments.
+#: Prefix of the names of segments.
 PREFIX: Final = 'journal/'
-#: A segment is sealed when its entries are larger than this, in bytes.
+#: A segment is sealed when its encoded size exceeds this.
 SEGMENT_BYTES: Final = 65536
 
 
 class Tail(NamedTuple):
     """The open segment of a shard.
 
-    :param number: its place in the run.
+    :param number: position in the sequence of segments.
     :param version: version of its object; 0 when it does not exist yet.
-    :param entries: what it holds.
+    :param entries: entries of the segment.
     """
 
     number: int = 0
@@ -41,11 +41,11 @@
 
 
 class JournalShard:
-    """One shard as its writer knows it.
+    """Cached state of one shard in the router that writes it.
 
     :param platform: session with the platform.
-    :param name: name of the shard, start of its segments' names.
-    :param window: seconds for which a key is known.
+    :param name: name of the shard, prefix of its segments' names.
+    :param window: seconds for which the records of keys are retained.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         name: str,
         window: float = math.inf,
     ) -> None:
-        """Start with nothing read."""
+        """Initialize the shard without loading it."""
         self._window = window
         self.records: dict[str, KeyRecord] = {}
         self._platform = platform
@@ -64,9 +64,9 @@
         self._sealed: set[str] = set()
 
     async def load(self) -> None:
-        """Read the segments that are not known yet.
+        """Read the segments that are not cached as sealed.
 
-        :raises PlatformError: when one could not be read.
+        :raises PlatformError: when a segment cannot be read.
         """
         self._tail = Tail(self._next)
         listed = await self._platform.list_objects(f'{self._name}/')
@@ -75,10 +75,10 @@
                 await self._load_segment(one.name)
 
     def merge(self, batch: list[Entry]) -> Merge:
-        """Merge entries with the shard as read.
+        """Merge entries into the cached state.
 
         :param batch: the entries.
-        :returns: answers, and how to write what is new.
+        :returns: acknowledgements, and a function that writes new entries.
         """
         merged = merge_batch(self.records, batch)
 
@@ -128,9 +128,9 @@
 
 
 def decode_segment(body: bytes) -> Segment:
-    """Read the value of a segment's object.
+    """Decode the value of a segment's object.
 
-    :param body: the value.
+    :param body: the value; empty when the object does not exist.
     :returns: the segment.
     """
     return msgspec.json.decode(body, type=Segment) if body else Segment([])
--- a/src/dykemast/_internal/network/journal_totals.py
+++ b/src/dykemast/_internal/network/journal_totals.py
@@ -1,7 +1,7 @@
-"""Sums of the bills in segments that are past the retry window.
+"""Sums of the bills in segments that are older than the retry window.
 
-A segment is first added to the sums of its shard, which name it as done,
-and only then deleted: whoever repeats a step changes nothing.
+A segment is first added to the sums of its shard, which record its name, and
+only then deleted. Repeating a step therefore has no effect.
 """
 
 from typing import Final, NamedTuple
@@ -12,15 +12,15 @@
 from dykemast._internal.network.journal_ledger import decode_segment
 from dykemast._internal.network.platform import Platform, Stored
 
-#: Start of the names of the objects with sums.
+#: Prefix of the names of the objects with sums.
 TOTALS: Final = 'totals/'
 
 
 class Sum(NamedTuple):
-    """Bills of one budget.
+    """Sum of the bills of one budget.
 
-    :param bills: how many.
-    :param tokens: tokens on them.
+    :param bills: number of bills.
+    :param tokens: total tokens of the bills.
     """
 
     bills: int = 0
@@ -30,8 +30,8 @@
 class Totals(NamedTuple):
     """Sums of one shard.
 
-    :param through: name of the last segment in them.
-    :param sums: by budget.
+    :param through: name of the last segment that is included.
+    :param sums: sums by budget.
     """
 
     through: str
@@ -39,13 +39,13 @@
 
 
 async def drop_oldest(platform: Platform, shard: str, before: float) -> bool:
-    """Sum up the oldest segment of a shard and delete it, if it is due.
+    """Add the oldest segment of a shard to the sums and delete it, if due.
 
     :param platform: session with the platform.
     :param shard: name of the journal shard.
-    :param before: seconds since 1970; newer segments stay.
-    :returns: whether one was dropped.
-    :raises PlatformError: when that was not possible now.
+    :param before: seconds since 1970; segments with newer entries stay.
+    :returns: whether a segment was deleted.
+    :raises PlatformError: when a read or write fails.
     """
     listed = await platform.list_objects(f'{shard}/')
     if not listed:
@@ -86,7 +86,7 @@
 def add_bills(sums: dict[str, Sum], segment: Segment) -> dict[str, Sum]:
     """Add the bills of a segment to sums.
 
-    :param sums: by budget; not changed.
+    :param sums: sums by budget; not modified.
     :param segment: the segment.
     :returns: the new sums.
     """
@@ -101,10 +101,10 @@
 
 
 def decode_totals(stored: Stored) -> Totals:
-    """Read the sums of a shard.
+    """Decode the sums of a shard.
 
-    :param stored: the object.
-    :returns: the sums; none when there is no such object.
+    :param stored: the stored object.
+    :returns: the sums; empty when the object does not exist.
     """
     if not stored.body:
         return Totals('', {})
--- a/src/dykemast/_internal/network/late_reads.py
+++ b/src/dykemast/_internal/network/late_reads.py
@@ -1,4 +1,4 @@
-"""Make a read once more when its answer is late."""
+"""Hedged reads: a second read starts when the first one is late."""
 
 import asyncio
 import contextlib
@@ -15,13 +15,13 @@
     read_again: Callable[[], _Read[_Answer]],
     delay_s: float,
 ) -> _Answer:
-    """Read, and read again beside it when there is no answer for a while.
+    """Read, and start a second read if the first one does not complete in time.
 
-    :param read: reads.
-    :param read_again: reads in another way.
-    :param delay_s: seconds to wait before the other way is tried, too.
-    :returns: the first answer.
-    :raises Exception: as the last one raised, when both failed.
+    :param read: starts the first read.
+    :param read_again: starts the second read.
+    :param delay_s: seconds to wait before the second read starts.
+    :returns: result of the first read that succeeds.
+    :raises Exception: error of the last read, when all failed.
     """
     reads = {asyncio.create_task(read())}
     with _cancelling(reads):
@@ -33,7 +33,7 @@
 
 @contextlib.contextmanager
 def _cancelling(reads: _Tasks[_Answer]) -> Iterator[None]:
-    """Cancel what is not over in the end."""
+    """Cancel all reads that have not completed on exit."""
     try:
         yield
     finally:
@@ -42,7 +42,7 @@
 
 
 async def _wait_first(reads: _Tasks[_Answer]) -> _Answer:
-    """Wait for an answer; a failure only counts when there is no other."""
+    """Wait for the first success; raise only when all reads have failed."""
     waiting = reads
     while True:
         completed, waiting = await asyncio.wait(
--- a/src/dykemast/_internal/network/ledger_codec.py
+++ b/src/dykemast/_internal/network/ledger_codec.py
@@ -1,4 +1,4 @@
-"""Intents and answers of the ledgers, as routers send them to each other."""
+"""Encoding of ledger intents and acknowledgements between routers."""
 
 from types import MappingProxyType
 from typing import Any, Final, NamedTuple
@@ -25,9 +25,9 @@
 
 
 def encode_intents(intents: list[Any]) -> bytes:
-    """Write intents, each with the number of its kind.
+    """Encode intents, each with the number of its kind.
 
-    :param intents: of one ledger.
+    :param intents: intents for one ledger.
     :returns: a JSON array.
     """
     pairs = [(_NUMBERS[intent.__class__], intent) for intent in intents]
@@ -35,18 +35,18 @@
 
 
 def encode_acks(acks: list[Any]) -> bytes:
-    """Write answers.
+    """Encode acknowledgements.
 
-    :param acks: of one ledger.
+    :param acks: acknowledgements of one ledger.
     :returns: a JSON array.
     """
     return msgspec.json.encode(acks)
 
 
 def decode_intents(body: bytes) -> list[Any]:
-    """Read intents of any ledger.
+    """Decode intents of any ledger.
 
-    :param body: as made by :func:`encode_intents`.
+    :param body: JSON array made by :func:`encode_intents`.
     :returns: the intents.
     """
     return [
@@ -56,18 +56,18 @@
 
 
 def decode_budget_acks(body: bytes) -> list[Any]:
-    """Read answers of a budget shard.
+    """Decode acknowledgements of a budget shard.
 
-    :param body: as made by :func:`encode_acks`.
-    :returns: the answers.
+    :param body: JSON array made by :func:`encode_acks`.
+    :returns: the acknowledgements.
     """
     return msgspec.json.decode(body, type=list[BudgetAck])
 
 
 def decode_journal_acks(body: bytes) -> list[Any]:
-    """Read answers of a journal shard.
+    """Decode acknowledgements of a journal shard.
 
-    :param body: as made by :func:`encode_acks`.
-    :returns: the answers.
+    :param body: JSON array made by :func:`encode_acks`.
+    :returns: the acknowledgements.
     """
     return msgspec.json.decode(body, type=list[JournalAck])
--- a/src/dykemast/_internal/network/listener_watch.py
+++ b/src/dykemast/_internal/network/listener_watch.py
@@ -1,4 +1,4 @@
-"""Notice when a listener has ended, though the process goes on."""
+"""Detection of listeners that have ended while the process still runs."""
 
 import asyncio
 from typing import Final
@@ -6,19 +6,21 @@
 from dykemast._internal.exceptions import ListenerEndedError
 from dykemast._internal.network.listeners import Listener
 
-#: Seconds between two looks. Three that fail make the router not ready; the
-#: users' platform and callers ask each second.
+#: Three failed checks make the router not ready; the platform and callers check
+#: readiness every second.
 CHECK_INTERVAL_S: Final = 0.5
 
 
 async def watch_listeners(listeners: list[Listener]) -> None:
-    """Look whether all listeners still serve, for ever.
+    """Check periodically that all listeners still serve.
 
     :param listeners: the listeners.
-    :raises ListenerEndedError: when one has ended that nobody closed.
+    :raises ListenerEndedError: when a listener has ended without being closed.
     """
     while True:
         for listener in listeners:
             if listener.serving.done() and not listener.should_exit:
-                raise ListenerEndedError('callers cannot connect any more.')
+                raise ListenerEndedError(
+                    'a listener has ended; callers cannot connect.'
+                )
         await asyncio.sleep(CHECK_INTERVAL_S)
--- a/src/dykemast/_internal/network/listeners.py
+++ b/src/dykemast/_internal/network/listeners.py
@@ -7,29 +7,28 @@
 
 import uvicorn
 
-#: Seconds after which an idle connection of a caller is closed.
+#: Idle time after which the connection of a caller is closed.
 KEEP_ALIVE_S: Final = 30
-#: Seconds that are waited for a listener to open.
 OPEN_TIMEOUT_S: Final = 10.0
 _POLL_INTERVAL_S: Final = 0.01
 
 
 class Listener(uvicorn.Server):
-    """Server that leaves signals to the router."""
+    """HTTP server that does not handle signals; the router does."""
 
-    #: Ends after the listener has closed its connections.
+    #: Completes after the listener has closed its connections.
     serving: asyncio.Task[None]
 
     @contextlib.contextmanager
     def capture_signals(self) -> Any:
-        """Capture none."""
+        """Install no signal handlers."""
         yield
 
 
 async def open_listener(app: Any, host: str, port: int) -> Listener:
     """Listen for HTTP requests.
 
-    :param app: what to serve.
+    :param app: ASGI application to serve.
     :param host: IP number to listen on.
     :param port: port to listen on.
     :returns: the listener.
@@ -43,21 +42,21 @@
     app: Any,
     sockets: list[socket.socket],
 ) -> Listener:
-    """Listen for HTTP requests on sockets that are bound already.
+    """Listen for HTTP requests on bound sockets.
 
-    :param app: what to serve.
+    :param app: ASGI application to serve.
     :param sockets: listening sockets.
     :returns: the listener.
-    :raises OSError: when it could not be opened.
+    :raises OSError: when the listener cannot be opened.
     """
     return await _open(_configure(app), sockets, 'the sockets')
 
 
 async def close_listeners(listeners: list[Listener], patience: float) -> None:
-    """Send what was answered, and close idle connections.
+    """Finish pending responses and close all connections.
 
     :param listeners: the listeners.
-    :param patience: seconds to wait for that.
+    :param patience: seconds to wait until the listeners have ended.
     """
     for listener in listeners:
         listener.should_exit = True
@@ -69,9 +68,10 @@
     return uvicorn.Config(
         app,
         **address,
-        # uvloop would use io_uring, which the users do not allow.
+        # uvloop would use io_uring, which users do not allow.
         loop='asyncio',
-        # Written in C: a parser in Python takes a fifth of a stream's time.
+        # A parser in Python would take a fifth of the processing time of a
+        # stream; this one is written in C.
         http='httptools',
         ws='none',
         lifespan='off',
--- a/src/dykemast/_internal/network/metrics.py
+++ b/src/dykemast/_internal/network/metrics.py
@@ -1,4 +1,4 @@
-"""Counters for the operators' monitoring."""
+"""Metrics in the Prometheus text format."""
 
 from typing import NamedTuple
 
@@ -10,11 +10,11 @@
 class Metrics(NamedTuple):
     """Metrics of one router.
 
-    :param registry: all of them.
+    :param registry: registry that holds all metrics.
     :param refusals: refusals by code.
-    :param first_byte: seconds until an answer began.
+    :param first_byte: seconds until the start of a response.
     :param inflight: requests in progress.
-    :param kept_bills: bills that are not in the journal yet.
+    :param kept_bills: bills not yet written to the journal.
     """
 
     registry: Registry
@@ -40,11 +40,11 @@
 
 
 def render_metrics(metrics: Metrics, board: Blackboard, kept: int) -> bytes:
-    """Write the metrics in the usual text format.
+    """Render the metrics in the Prometheus text format.
 
-    :param metrics: the metrics.
-    :param board: the blackboard, for the gauges.
-    :param kept: bills that are not in the journal yet.
+    :param metrics: the metrics; the gauges are updated.
+    :param board: the blackboard, source of the gauge values.
+    :param kept: bills not yet written to the journal.
     :returns: the text.
     """
     metrics.inflight.set({}, board.traffic.inflight)
--- a/src/dykemast/_internal/network/peer_client.py
+++ b/src/dykemast/_internal/network/peer_client.py
@@ -1,7 +1,7 @@
 """Calls to other routers.
 
-A connection carries one call at a time and is closed after any failure: the
-library's client would hand a late answer to the next call.
+A connection carries one call at a time and is closed after any failure.
+Otherwise the client library would return a late response to the next call.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from dykemast._internal.exceptions import PeerError
 from dykemast._internal.models.fleet import PeerCard
 
-#: Idle connections kept for each peer at most.
+#: Maximum number of idle connections per peer.
 MAX_IDLE_CONNECTIONS: Final = 4
 _FAILURES: Final = (TException, OSError, EOFError, asyncio.TimeoutError)
 
@@ -22,8 +22,8 @@
 class PeerClient:
     """Pooled connections to the other routers.
 
-    :param key: secret that all routers share; None where calls take none.
-    :param service: what they offer, from an interface definition.
+    :param key: secret shared by all routers; None when calls take no key.
+    :param service: thrift service of the peers.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         key: str | None,
         service: Any,
     ) -> None:
-        """Open no connection yet."""
+        """Initialize the pool without opening connections."""
         self._key_arguments = () if key is None else (key,)
         self._service = service
         self._idle: dict[str, list[Any]] = {}
@@ -45,12 +45,12 @@
     ) -> Any:
         """Call another router.
 
-        :param card: the router.
+        :param card: card of the router to call.
         :param method: name of the call in the interface definition.
-        :param words: its arguments after the key.
-        :param timeout: seconds to wait.
-        :returns: the answer.
-        :raises PeerError: when there was none, or it was refused.
+        :param words: arguments after the key.
+        :param timeout: seconds to wait for the response.
+        :returns: result of the call.
+        :raises PeerError: when the call fails, times out or is refused.
         """
         try:
             async with asyncio.timeout(timeout):
--- a/src/dykemast/_internal/network/peer_codec.py
+++ b/src/dykemast/_internal/network/peer_codec.py
@@ -1,4 +1,4 @@
-"""Peer cards as thrift structs and back."""
+"""Conversion of peer cards to and from thrift structs."""
 
 from importlib import resources
 from typing import Any, Final
@@ -10,9 +10,9 @@
 
 
 def load_idl(name: str) -> Any:
-    """Make a module from an interface definition.
+    """Load an interface definition as a module.
 
-    :param name: of the file, without its suffix.
+    :param name: name of the file without its suffix.
     :returns: the module.
     """
     path = resources.files(__package__) / f'{name}.thrift'
@@ -20,12 +20,12 @@
         return thriftpy2.load_fp(source, f'{name}_thrift')
 
 
-#: Module made from the interface definition.
+#: Module generated from the interface definition.
 peer_thrift: Final = load_idl('peer')
 
 
 def pack_view(view: PeerView) -> Any:
-    """Make a thrift struct of a peer's card.
+    """Convert a peer's card to its thrift struct.
 
     :param view: the card and its heartbeat count.
     :returns: a ``Card``.
@@ -34,7 +34,7 @@
 
 
 def unpack_card(card: Any) -> PeerCard:
-    """Read a peer's card from its thrift struct.
+    """Convert a thrift struct to a peer's card.
 
     :param card: a ``Card``.
     :returns: the card, without the heartbeat count.
--- a/src/dykemast/_internal/network/peer_server.py
+++ b/src/dykemast/_internal/network/peer_server.py
@@ -12,14 +12,15 @@
 
 
 class PeerCalls(NamedTuple):
-    """What other routers may call; the key has been checked by then.
+    """Handlers for calls of other routers, run after the key check.
 
-    :param exchange: takes news and returns this router's.
-    :param commit: has intents of a ledger written by this router.
-    :param lend: gives away leased tokens; returns how many.
-    :param hold_bills: takes over bills while the platform is away.
+    :param exchange: merges a gossip message and returns this router's.
+    :param commit: commits intents to a ledger that this router writes.
+    :param lend: lends leased tokens; returns the number lent.
+    :param hold_bills: stores bills while the platform is unavailable.
     :param newer_revision: returns a revision above a number, or nothing.
-    :param recall: renews the lease of a budget that runs out elsewhere.
+    :param recall: renews the lease of a budget that is running out on another
+        router.
     """
 
     exchange: Callable[[Any], Awaitable[Any]]
@@ -31,7 +32,7 @@
 
 
 class _Guard:
-    """Checks the key before each call."""
+    """Checks the shared key before each call."""
 
     def __init__(self, key: str, calls: PeerCalls) -> None:
         self._key = key.encode()
@@ -43,7 +44,7 @@
 
         async def guarded(key: str, *words: Any) -> Any:
             if not hmac.compare_digest(key.encode(), self._key):
-                raise peer_thrift.Refused(reason='wrong key.')
+                raise peer_thrift.Refused(reason='wrong peer key.')
             try:
                 return await run(*words)
             except (DykemastError, msgspec.MsgspecError) as error:
@@ -57,8 +58,8 @@
 
     :param host: IP number to listen on.
     :param port: port to listen on.
-    :param key: secret that all routers share.
-    :param calls: what they may call.
-    :returns: the listening server, to be closed by its ``close``.
+    :param key: secret shared by all routers.
+    :param calls: handlers of the calls.
+    :returns: the listening server, closed by its ``close`` method.
     """
     return await listen(peer_thrift.Peer, _Guard(key, calls), host, port)
--- a/src/dykemast/_internal/network/platform.py
+++ b/src/dykemast/_internal/network/platform.py
@@ -1,4 +1,4 @@
-"""Session with the platform's object API (docs/platform.md)."""
+"""Client of the platform's object API (docs/platform.md)."""
 
 from typing import Any, Final, NamedTuple
 from urllib.parse import quote
@@ -16,7 +16,7 @@
     PlatformSession,
 )
 
-#: Seconds that a watch waits for a change.
+#: Time that a watch waits for a change.
 WATCH_TIMEOUT_S: Final = 20.0
 _OK: Final = 200
 _NOT_FOUND: Final = 404
@@ -24,10 +24,10 @@
 
 
 class Stored(NamedTuple):
-    """An object as read.
+    """Value and version of an object.
 
-    :param body: its value.
-    :param version: grows with each write; 0 when there is no such object.
+    :param body: value of the object.
+    :param version: grows with each write; 0 when the object does not exist.
     """
 
     body: bytes
@@ -44,8 +44,8 @@
 class Change(NamedTuple):
     """Result of a watch.
 
-    :param mark: to be given to the next watch.
-    :param names: objects that changed.
+    :param mark: position from which the next watch continues.
+    :param names: names of the changed objects.
     """
 
     mark: int
@@ -53,21 +53,21 @@
 
 
 class Platform:
-    """Calls of the object API.
+    """Client of the object API.
 
-    :param session: transport to it.
+    :param session: HTTP transport to the platform.
     """
 
     def __init__(self, session: PlatformSession) -> None:
-        """Keep the transport."""
+        """Initialize the client with its transport."""
         self._session = session
 
     async def read(self, name: str) -> Stored:
         """Read an object.
 
-        :param name: its name.
-        :returns: value and version; version 0 when there is none.
-        :raises PlatformAwayError: when no answer came.
+        :param name: name of the object.
+        :returns: value and version; version 0 when the object does not exist.
+        :raises PlatformUnavailableError: when no response arrives.
         """
         answer = await self._session.call('GET', _locate(name))
         if answer.status == _NOT_FOUND:
@@ -76,24 +76,26 @@
         return Stored(stored['value'].encode(), stored['version'])
 
     async def write(self, name: str, body: bytes, version: int) -> int:
-        """Write an object if it still has a version.
+        """Write an object if it still has the expected version.
 
-        :param name: its name.
+        :param name: name of the object.
         :param body: new value, UTF-8.
-        :param version: the expected one; 0 to create the object.
-        :returns: its new version.
-        :raises VersionConflictError: when it has another; nothing is written.
-        :raises PlatformAwayError: when no answer came; it may be written.
+        :param version: expected version; 0 to create the object.
+        :returns: the new version.
+        :raises VersionConflictError: when the version differs; nothing is
+            written.
+        :raises PlatformUnavailableError: when no response arrives; the write
+            may have taken effect.
         """
         path = f'{_locate(name)}?if_version={version}'
         answer = await self._session.call('PUT', path, body)
         return _decode(answer, dict[str, int])['version']
 
     async def delete(self, name: str, version: int) -> None:
-        """Delete an object if it still has a version.
+        """Delete an object if it still has the expected version.
 
-        :param name: its name.
-        :param version: the expected one.
+        :param name: name of the object.
+        :param version: expected version.
         """
         path = f'{_locate(name)}?if_version={version}'
         answer = await self._session.call('DELETE', path)
@@ -102,8 +104,8 @@
     async def list_objects(self, prefix: str) -> list[Listed]:
         """List objects.
 
-        :param prefix: start of their names.
-        :returns: names and versions, by name.
+        :param prefix: prefix of the names.
+        :returns: names and versions, ordered by name.
         """
         answer = await self._session.call(
             'GET', f'/objects?prefix={quote(prefix)}'
@@ -111,7 +113,7 @@
         return _decode(answer, list[Listed])
 
     async def list_instances(self) -> list[Instance]:
-        """Read the list of instances, which lags.
+        """Read the list of instances, which may be outdated.
 
         :returns: live and leaving instances.
         """
@@ -121,9 +123,9 @@
     async def watch(self, prefix: str, mark: int) -> Change:
         """Wait for a change.
 
-        :param prefix: start of the names to watch.
-        :param mark: from the last watch; 0 at first.
-        :returns: what changed, possibly nothing.
+        :param prefix: prefix of the names to watch.
+        :param mark: mark of the previous watch; 0 initially.
+        :returns: the change; without names when the watch timed out.
         """
         path = f'/watch?prefix={quote(prefix)}&mark={mark}'
         answer = await self._session.call('GET', path, wait=WATCH_TIMEOUT_S)
@@ -136,11 +138,16 @@
 
 def _decode(answer: Answer, shape: Any) -> Any:
     if answer.status == _CONFLICT:
-        raise VersionConflictError('object has another version.')
+        raise VersionConflictError(
+            'the object does not have the expected version.'
+        )
     if answer.status != _OK:
-        # 429 and 5xx alike: whether a write took effect is not known.
-        raise PlatformUnavailableError(f'platform answered {answer.status}.')
+        # For 429 and 5xx alike it is unknown whether a write took effect.
+        raise PlatformUnavailableError(
+            f'platform answered with status {answer.status}.'
+        )
     try:
         return msgspec.json.decode(answer.body, type=shape)
     except msgspec.MsgspecError as error:
-        raise PlatformError(f'platform sent something else: {error}') from error
+        text = f'cannot decode the platform response: {error}'
+        raise PlatformError(text) from error
--- a/src/dykemast/_internal/network/platform_session.py
+++ b/src/dykemast/_internal/network/platform_session.py
@@ -1,9 +1,9 @@
-"""Transport to the platform: one HTTP call, one answer or none.
+"""HTTP transport to the platform.
 
-A connection that was kept may have gone silent without a reset, and the next
-one that is kept as well. So a read that is late is made once more over a new
-connection; whichever answers first counts. Without that a change was known
-3.2 s after it was confirmed, where 2 s are promised.
+Pooled connections may stop responding without a reset, several at once. A late
+read is therefore repeated over a new connection, and the first response is
+used. Otherwise a change may become visible 3.2 s after it was confirmed, while
+the bound is 2 s.
 """
 
 import asyncio
@@ -17,13 +17,13 @@
 from dykemast._internal.network.sockets import make_socket
 from dykemast._internal.operations.freshness import LATE_READ_S
 
-#: Seconds to wait for an answer.
+#: Time limit for a response, in addition to the wait of a watch.
 CALL_TIMEOUT_S: Final = 2.0
 _FAILURES: Final = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
 
 
 class Answer(NamedTuple):
-    """Status and body of an answer."""
+    """Status and body of an HTTP response."""
 
     status: int
     body: bytes
@@ -32,11 +32,11 @@
 class PlatformSession:
     """Pooled connections to the platform.
 
-    :param base: URL of the API, without a slash at its end.
+    :param base: URL of the API, without a trailing slash.
     """
 
     def __init__(self, base: str) -> None:
-        """Open no connection yet."""
+        """Initialize the session without opening connections."""
         self._base = base
         self._session: aiohttp.ClientSession | None = None
         self._fresh: aiohttp.ClientSession | None = None
@@ -52,10 +52,10 @@
 
         :param method: HTTP method.
         :param path: path and query.
-        :param body: what to send.
-        :param wait: seconds that the platform may hold the call back.
-        :returns: the answer.
-        :raises PlatformAwayError: when there was none.
+        :param body: request body.
+        :param wait: seconds for which the platform may delay its response.
+        :returns: the response.
+        :raises PlatformUnavailableError: when no response arrives.
         """
         try:
             return await self._choose_call(method, path, body, wait)
@@ -77,7 +77,7 @@
         wait: float,
     ) -> Coroutine[Any, Any, Answer]:
         if method != 'GET' or wait:
-            # A write is not made twice, and a watch is meant to wait.
+            # Writes must not be repeated, and watches wait by design.
             return self._fetch(method, path, body, wait)
         return read_again_if_late(
             lambda: self._fetch(method, path, body, wait),
--- a/src/dykemast/_internal/network/revision_store.py
+++ b/src/dykemast/_internal/network/revision_store.py
@@ -1,7 +1,7 @@
-"""Revisions of the configuration, as objects of the platform.
+"""Storage of configuration revisions as platform objects.
 
-A revision is one object that never changes; a small head object names the
-newest. The conditional update of the head decides between operators.
+A revision is an immutable object; a small head object names the newest one.
+The conditional update of the head resolves races between operators.
 """
 
 import uuid
@@ -23,11 +23,11 @@
 
 #: Name of the head object.
 HEAD: Final = 'configuration/head'
-#: Start of the names of revisions.
+#: Prefix of the names of revisions.
 REVISIONS: Final = 'configuration/revisions/'
-#: Submissions that the head remembers.
+#: Number of submission ids in the head, by which repeats are recognized.
 MAX_REMEMBERED_SUBMISSIONS: Final = 32
-#: Times that a submission is tried when answers are lost.
+#: Attempts to submit when responses are lost or another write comes first.
 MAX_ATTEMPTS: Final = 4
 
 
@@ -38,15 +38,15 @@
     """
 
     def __init__(self, platform: Platform) -> None:
-        """Keep the session."""
+        """Initialize the store with an empty cached revision."""
         self._platform = platform
         self._known = Revision(0, '', _empty())
 
     async def read_head(self) -> Head:
-        """Read which revision is the newest.
+        """Read the head, which names the newest revision.
 
         :returns: the head.
-        :raises PlatformError: when it could not be read.
+        :raises PlatformError: when the read fails.
         """
         stored = await self._platform.read(HEAD)
         return _decode_head(stored.body)
@@ -54,8 +54,8 @@
     async def read_newest(self) -> Revision:
         """Read the newest revision.
 
-        :returns: the revision; number 0 when there is none.
-        :raises PlatformError: when it could not be read.
+        :returns: the revision; number 0 when none exists.
+        :raises PlatformError: when the read fails.
         """
         head = await self.read_head()
         if head.number > self._known.number:
@@ -66,8 +66,8 @@
     async def wait_change(self, mark: int) -> Change:
         """Wait until the head changes.
 
-        :param mark: from the last change; 0 at first.
-        :returns: what changed, possibly nothing.
+        :param mark: mark of the previous change; 0 initially.
+        :returns: the change; without names when the watch timed out.
         """
         return await self._platform.watch(HEAD, mark)
 
@@ -79,18 +79,18 @@
     ) -> int:
         """Make a configuration the newest revision.
 
-        :param configuration: checked before.
-        :param base: number of the revision that it was made from.
-        :param submission: id by which a repeat is known.
+        :param configuration: a configuration that was checked.
+        :param base: number of the revision that it is based on.
+        :param submission: idempotency key of the submission.
         :returns: the new revision's number.
-        :raises StaleRevisionError: when another one came in between.
-        :raises PlatformError: when the platform is away.
+        :raises StaleRevisionError: when the base is not the newest revision.
+        :raises PlatformError: when the platform is unavailable.
         """
         for _ in range(MAX_ATTEMPTS):
             try:
                 return await self._try_submit(configuration, base, submission)
             except (VersionConflictError, PlatformUnavailableError) as error:
-                # The head tells on the next try whether it took effect.
+                # The next attempt sees in the head whether the write succeeded.
                 failure = error
         raise failure
 
@@ -115,8 +115,8 @@
         return base + 1
 
     async def _write_revision(self, revision: Revision) -> str:
-        # The name is never used twice: one that lost the race for the head
-        # stays behind and nobody reads it.
+        # Names are unique: a revision that loses the race for the head remains
+        # as an object that is never read.
         name = '{}{:08d}-{}'.format(
             REVISIONS, revision.number, uuid.uuid4().hex
         )
@@ -126,8 +126,8 @@
 
 def _explain_stale(newest: int, base: int) -> str:
     return (
-        f'Revision {newest} is in force, and yours was made from {base}. '
-        'Read it, bring in your change, and submit again.'
+        f'the newest revision is {newest}, but the submission is based on '
+        f'{base}. Merge your change into revision {newest} and submit again.'
     )
 
 
--- a/src/dykemast/_internal/network/sockets.py
+++ b/src/dykemast/_internal/network/sockets.py
@@ -1,12 +1,13 @@
-"""Sockets that notice when the other side is cut off."""
+"""Client sockets that detect unreachable peers."""
 
 import socket
 from typing import Any, Final
 
-#: Milliseconds that sent bytes may stay unconfirmed. Users' links confirm in
-#: some milliseconds, and lost packets are repeated within a second.
+#: Time that sent bytes may stay unacknowledged. Links acknowledge within
+#: milliseconds, and lost packets are retransmitted within a second.
 USER_TIMEOUT_MS: Final = 3000
-#: Seconds of silence before a probe, between probes, and probes in vain.
+#: TCP keep-alive: idle time before the first probe, time between probes, and
+#: number of unanswered probes before the connection is closed.
 PROBE_IDLE_S: Final = 1
 PROBE_INTERVAL_S: Final = 1
 PROBE_COUNT: Final = 2
@@ -22,9 +23,9 @@
 
 
 def make_socket(address: Any) -> socket.socket:
-    """Make a socket to connect with.
+    """Create a non-blocking client socket.
 
-    :param address: as ``getaddrinfo`` gives it.
+    :param address: address information from ``getaddrinfo``.
     :returns: the socket, not yet connected.
     """
     made = socket.socket(*address[:3])
--- a/src/dykemast/_internal/network/thrift_server.py
+++ b/src/dykemast/_internal/network/thrift_server.py
@@ -1,6 +1,6 @@
 """Server for thrift calls.
 
-The library's server wants to own the loop; only its transport is used.
+The server of thriftpy2 runs its own event loop, so only its transport is used.
 """
 
 from typing import Any
@@ -9,20 +9,20 @@
 
 
 async def listen(service: Any, calls: Any, host: str, port: int) -> Any:
-    """Serve calls of an interface definition.
+    """Serve calls of a thrift service.
 
-    :param service: the interface.
-    :param calls: has a coroutine method for each call.
+    :param service: the thrift service.
+    :param calls: object with a coroutine method for each call.
     :param host: IP number to listen on.
     :param port: port to listen on.
-    :returns: the listening server, to be closed by its ``close``.
+    :returns: the listening server, closed by its ``close`` method.
     """
     server = make_server(
         service,
         calls,
         host,
         port,
-        # Pooled connections of peers may be idle for long.
+        # Pooled connections of peers may be idle for a long time.
         client_timeout=None,
     )
     server.trans.listen()
