--- a/src/dykemast/_internal/network/peer_client.py
+++ b/src/dykemast/_internal/network/peer_client.py
@@ -1,7 +1,7 @@
 """Calls to other routers.
 
-A connection carries one call at a time and is closed after any failure: the
-library's client would hand a late answer to the next call.
+A connection carries one call at a time and is closed after any failure.
+Otherwise the client library would return a late response to the next call.
 """
 
 import asyncio
@@ -14,16 +14,16 @@
 from dykemast._internal.exceptions import PeerError
 from dykemast._internal.models.fleet import PeerCard
 
-#: Idle connections kept for each peer at most.
-MAX_IDLE: Final = 4
+#: Maximum number of idle connections per peer.
+MAX_IDLE_CONNECTIONS: Final = 4
 _FAILURES: Final = (TException, OSError, EOFError, asyncio.TimeoutError)
 
 
 class PeerClient:
     """Pooled connections to the other routers.
 
-    :param key: secret that all routers share; None where calls take none.
-    :param service: what they offer, from an interface definition.
+    :param key: secret shared by all routers; None when calls take no key.
+    :param service: thrift service of the peers.
     """
 
     def __init__(
@@ -31,8 +31,8 @@
         key: str | None,
         service: Any,
     ) -> None:
-        """Open no connection yet."""
-        self._first_words = () if key is None else (key,)
+        """Initialize the pool without opening connections."""
+        self._key_arguments = () if key is None else (key,)
         self._service = service
         self._idle: dict[str, list[Any]] = {}
 
@@ -45,12 +45,12 @@
     ) -> Any:
         """Call another router.
 
-        :param card: the router.
+        :param card: card of the router to call.
         :param method: name of the call in the interface definition.
-        :param words: its arguments after the key.
-        :param timeout: seconds to wait.
-        :returns: the answer.
-        :raises PeerError: when there was none, or it was refused.
+        :param words: arguments after the key.
+        :param timeout: seconds to wait for the response.
+        :returns: result of the call.
+        :raises PeerError: when the call fails, times out or is refused.
         """
         try:
             async with asyncio.timeout(timeout):
@@ -73,16 +73,16 @@
         method: str,
         words: Sequence[Any],
     ) -> Any:
-        client = await self._take(card)
+        client = await self._acquire(card)
         try:
-            answer = await getattr(client, method)(*self._first_words, *words)
+            answer = await getattr(client, method)(*self._key_arguments, *words)
         except BaseException:
             client.close()
             raise
-        self._give_back(card, client)
+        self._release(card, client)
         return answer
 
-    async def _take(self, card: PeerCard) -> Any:
+    async def _acquire(self, card: PeerCard) -> Any:
         idle = self._idle.setdefault(card.incarnation, [])
         if idle:
             return idle.pop()
@@ -90,9 +90,9 @@
             self._service, card.host, card.peer_port, timeout=None
         )
 
-    def _give_back(self, card: PeerCard, client: Any) -> None:
+    def _release(self, card: PeerCard, client: Any) -> None:
         idle = self._idle.setdefault(card.incarnation, [])
-        if len(idle) < MAX_IDLE:
+        if len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(client)
         else:
             client.close()
--- a/src/dykemast/_internal/platform/configuration.py
+++ b/src/dykemast/_internal/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration object, decoded into a routing table."""
+"""Decoding of the configuration object into a routing table."""
 
 from typing import Any, Final
 
@@ -9,7 +9,10 @@
     hash_key,
 )
 from dykemast._internal.models.services import Engine, RequestLimits, Service
-from dykemast._internal.platform.routes import decode_homes, decode_routes
+from dykemast._internal.platform.routes import (
+    decode_allowed_regions,
+    decode_routes,
+)
 from dykemast._internal.platform.store_types import StoreObject
 
 #: Kind and name of the object.
@@ -17,8 +20,8 @@
 CONFIGURATION_NAME: Final = 'main'
 _MS: Final = 1000.0
 
-#: What a document of other fields or types than expected raises.
-_MISFITS: Final = (
+#: Errors raised by a document with missing fields or unexpected types.
+_SCHEMA_ERRORS: Final = (
     AttributeError,
     KeyError,
     OverflowError,
@@ -32,13 +35,13 @@
 def decode_configuration(stored: StoreObject) -> RoutingTable:
     """Decode the configuration.
 
-    :param stored: the object.
+    :param stored: the configuration object.
     :returns: the routing table.
-    :raises NotUsableError: when it makes no sense.
+    :raises InvalidDataError: when a field is missing or invalid.
     """
     try:
         return _decode(stored)
-    except _MISFITS as error:
+    except _SCHEMA_ERRORS as error:
         text = f'{type(error).__name__}: {error}'
         raise InvalidDataError(text) from error
 
@@ -62,13 +65,13 @@
 def _decode_workspaces(
     listed: list[Document],
 ) -> tuple[dict[str, Workspace], dict[bytes, str]]:
-    # Tenants are this project's workspaces.
+    # The platform calls workspaces "tenants".
     workspaces = {
         one['name']: Workspace(
             one['name'],
             one.get('priority'),
             one.get('prepaid'),
-            decode_homes(one),
+            decode_allowed_regions(one),
         )
         for one in listed
     }
@@ -93,7 +96,7 @@
     return Engine(
         slots=int(fields['slots']),
         cache_tokens=int(fields['kvCapacity']),
-        # The stride is the number of tokens in one event.
+        # "stride" is the number of tokens per event.
         tokens_per_event=int(fields.get('stride', 1)),
     )
 
--- a/src/dykemast/_internal/platform/request_headers.py
+++ b/src/dykemast/_internal/platform/request_headers.py
@@ -1,4 +1,4 @@
-"""Header fields of callers' requests, and of sends to backend servers."""
+"""Header fields of callers' requests and of backend requests."""
 
 from typing import Any, Final
 
@@ -7,12 +7,12 @@
 from dykemast._internal.platform import names
 from dykemast._internal.platform.caller_fields import (
     Fields,
-    check_declared,
-    choose_passed_on,
+    check_duplicates,
+    choose_forwarded,
 )
 from dykemast._internal.platform.caller_paths import check_path
 from dykemast._internal.platform.prompt_headers import (
-    decode_patience,
+    decode_timeout,
     decode_prompt,
     decode_tokens,
 )
@@ -22,10 +22,10 @@
 
 
 def find_request_id(scope: Any) -> str:
-    """Find the id that the caller gave a request.
+    """Find the request id that the caller set.
 
     :param scope: ASGI scope.
-    :returns: the id; empty when there is none.
+    :returns: the id; empty when the caller set none.
     """
     wanted = names.ATTEMPT_ID.encode()
     for name, text in scope['headers']:
@@ -39,13 +39,13 @@
 
     :param scope: ASGI scope.
     :returns: the request.
-    :raises ValueError: when a field makes no sense.
+    :raises ValueError: when a field is malformed or repeated.
     """
     pairs = [
         (name.decode(_ENCODING).lower(), _decode_text(text))
         for name, text in scope['headers']
     ]
-    check_declared(pairs)
+    check_duplicates(pairs)
     check_path(scope['path'])
     fields = dict(pairs)
     tokens = decode_tokens(fields.get(names.TOKENS))
@@ -56,8 +56,8 @@
         path=scope['path'],
         target=_decode_target(scope),
         key=_decode_key(fields.get(names.AUTHORIZATION, '')),
-        timeout_s=decode_patience(fields.get(names.DEADLINE)),
-        headers=choose_passed_on(pairs),
+        timeout_s=decode_timeout(fields.get(names.DEADLINE)),
+        headers=choose_forwarded(pairs),
         prompt_tokens=tokens.prompt,
         output_tokens=tokens.output,
         prompt=decode_prompt(fields.get(names.PROMPT)),
@@ -68,11 +68,11 @@
 def encode_forwarding(
     request: CallerRequest, added: ForwardingFields
 ) -> Fields:
-    """Make the header fields of a send to a backend server.
+    """Encode the header fields of a backend request.
 
     :param request: the caller's request.
-    :param added: what this router says.
-    :returns: the fields.
+    :param added: fields that this router sets.
+    :returns: names and values of the header fields.
     """
     left = max(1, int(added.time_left_s * _MS))
     own: Fields = [
@@ -91,7 +91,8 @@
 
 
 def _decode_text(text: bytes) -> str:
-    # Sends are encoded as UTF-8, so what is UTF-8 goes on as it came.
+    # Backend requests are encoded as UTF-8, so UTF-8 values are forwarded
+    # unchanged.
     try:
         return text.decode()
     except UnicodeDecodeError:
--- a/tests/unit/test_backpressure.py
+++ b/tests/unit/test_backpressure.py
@@ -5,8 +5,8 @@
 
 from dykemast._internal.models.backend import Backpressure
 from dykemast._internal.platform.answer_headers import (
-    MAX_REST,
-    MIN_LIMIT,
+    MAX_BACKOFF_S,
+    MIN_LIMIT_PER_S,
     decode_answer,
 )
 
@@ -45,11 +45,11 @@
 
 
 def test_a_limit_of_zero_is_raised_to_the_minimum() -> None:
-    assert decode_backpressure(OK, **{LIMIT: '0'}).limit == MIN_LIMIT
+    assert decode_backpressure(OK, **{LIMIT: '0'}).limit == MIN_LIMIT_PER_S
 
 
 def test_a_backoff_is_bounded() -> None:
-    assert decode_backpressure(UNAVAILABLE, **{REST: '1e9'}).rest == MAX_REST
+    assert decode_backpressure(UNAVAILABLE, **{REST: '1e9'}).rest == MAX_BACKOFF_S
 
 
 def test_invalid_fields_mean_no_backpressure() -> None:
@@ -64,5 +64,5 @@
 def test_any_field_value_can_be_decoded(text) -> None:
     fields = {LIMIT: text, REST: text, LEAVING: text}
     backpressure = decode_backpressure(UNAVAILABLE, **fields)
-    assert backpressure.limit is None or backpressure.limit >= MIN_LIMIT
-    assert 0 <= backpressure.rest <= MAX_REST
+    assert backpressure.limit is None or backpressure.limit >= MIN_LIMIT_PER_S
+    assert 0 <= backpressure.rest <= MAX_BACKOFF_S
