--- a/src/dykemast/_internal/network/listeners.py
+++ b/src/dykemast/_internal/network/listeners.py
@@ -52,16 +52,16 @@
     return await _open(_configure(app), sockets, 'the sockets')
 
 
-async def close_listeners(listeners: list[Listener], patience: float) -> None:
+async def close_listeners(listeners: list[Listener], timeout_s: float) -> None:
     """Finish pending responses and close all connections.
 
     :param listeners: the listeners.
-    :param patience: seconds to wait until the listeners have ended.
+    :param timeout_s: seconds to wait until the listeners have ended.
     """
     for listener in listeners:
         listener.should_exit = True
     ends = [one.serving for one in listeners]
-    await asyncio.wait(ends, timeout=patience)
+    await asyncio.wait(ends, timeout=timeout_s)
 
 
 def _configure(app: Any, **address: Any) -> uvicorn.Config:
--- a/src/dykemast/_internal/network/peer.thrift
+++ b/src/dykemast/_internal/network/peer.thrift
@@ -1,4 +1,4 @@
-// Calls between routers. The key is the secret that all routers share.
+// Calls between routers. The key is the secret shared by all routers.
 
 struct Card {
     1: string instance,
@@ -24,7 +24,7 @@
 
 service Peer {
     Gossip exchange(1: string key, 2: Gossip news) throws (1: Refused no),
-    // Intents and answers are JSON arrays of the types of the ledger.
+    // Intents and acknowledgements are JSON arrays of the ledger's types.
     binary commit(1: string key, 2: string ledger, 3: binary intents)
         throws (1: Refused no),
     i64 lend(1: string key, 2: string budget, 3: i64 tokens,
