--- a/src/dykemast/_internal/serving/knowledge/configuration.py
+++ b/src/dykemast/_internal/serving/knowledge/configuration.py
@@ -60,7 +60,7 @@
     :param board: the blackboard.
     :param stored: the object that holds it.
     :param source: the store or a peer, for the log.
-    :raises NotUsableError: when it is invalid.
+    :raises InvalidDataError: when it is invalid.
     """
     table = decode_configuration(stored)
     before = board.get_version()
--- a/tests/unit/test_backpressure.py
+++ b/tests/unit/test_backpressure.py
@@ -49,7 +49,9 @@
 
 
 def test_a_backoff_is_bounded() -> None:
-    assert decode_backpressure(UNAVAILABLE, **{REST: '1e9'}).rest == MAX_BACKOFF_S
+    assert (
+        decode_backpressure(UNAVAILABLE, **{REST: '1e9'}).rest == MAX_BACKOFF_S
+    )
 
 
 def test_invalid_fields_mean_no_backpressure() -> None:
